--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -154,25 +154,25 @@
     loop = ManualLoop()
     pacer = transport.make_pacer(mbps, loop)
     context.room = _answer_room.AnswerRoom(pacer, loop.time)
-    context.room.end(ROUTE, context.room.promise(ROUTE), size)
+    context.room.release(ROUTE, context.room.reserve(ROUTE), size)
 
 
 @given('{count:d} of them promised')
 def step_promised(context, count):
-    context.promises = [context.room.promise(ROUTE) for _ in range(count)]
+    context.promises = [context.room.reserve(ROUTE) for _ in range(count)]
 
 
 @when('{count:d} of them end without an answer')
 def step_end(context, count):
     for promised in context.promises[:count]:
-        context.room.end(ROUTE, promised, None)
+        context.room.release(ROUTE, promised, None)
 
 
 @then(
     'a call with {work:d} ms of work and {goal:d} ms until its goal {result}'
 )
 def step_has_room(context, work, goal, result):
-    has_room = context.room.has_room(ROUTE, work, goal / 1000)
+    has_room = context.room.can_send_in_time(ROUTE, work, goal / 1000)
     assert has_room is (result == 'has room'), context.room.wait_ms
 
 
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -683,19 +683,19 @@
 def step_gate_log(context, admitted, wait_ms, refused):
     context.gate_log = _gate_log.GateLog()
     for _ in range(admitted):
-        context.gate_log.note_admitted(ROUTE, wait_ms)
+        context.gate_log.count_admitted(ROUTE, wait_ms)
     for _ in range(refused):
-        context.gate_log.note_refused(ROUTE)
+        context.gate_log.count_refused(ROUTE)
 
 
 @then('its line is "{text}"')
 def step_gate_line(context, text):
-    assert context.gate_log.take_text(context.gate.gate) == text
+    assert context.gate_log.take_summary(context.gate.gate) == text
 
 
 @then('its next line is empty')
 def step_gate_line_empty(context):
-    assert context.gate_log.take_text(context.gate.gate) == ''
+    assert context.gate_log.take_summary(context.gate.gate) == ''
 
 
 @then('the load field of an answer holds {count:d} numbers')
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -58,11 +58,11 @@
             evidence = mesh.CrashEvidence(number, kind == 'trial')
             self.table.blame(FINGERPRINT, (evidence,))
         elif kind == 'answer':
-            self.table.forgive(FINGERPRINT)
+            self.table.clear(FINGERPRINT)
 
-    def judge(self) -> str:
+    def find_standing(self) -> str:
         """Return what is known."""
-        return self.table.judge(FINGERPRINT).value
+        return self.table.find_standing(FINGERPRINT).value
 
 
 def make_request(**fields) -> transport.Request:
@@ -98,7 +98,9 @@
 
 @then('it is {standing:w}')
 def step_standing(context, standing):
-    assert context.subject.judge() == standing, context.subject.judge()
+    assert context.subject.find_standing() == standing, (
+        context.subject.find_standing()
+    )
 
 
 @then('daemons that were told the same ends and answers agree')
@@ -122,8 +124,8 @@
             rng.shuffle(order)
             for crash in order:
                 subject.table.blame(FINGERPRINT, (crash,))
-            subject.table.forgive(FINGERPRINT, answered)
-        assert len({subject.judge() for subject in subjects}) == 1
+            subject.table.clear(FINGERPRINT, answered)
+        assert len({subject.find_standing() for subject in subjects}) == 1
         counted = [item for item in told if item.crash not in answered]
         trials = {item.crash for item in counted if item.was_trial}
         others = {item.crash for item in counted} - trials
@@ -137,12 +139,12 @@
 @then('it may be tried after {wait_s:d} s')
 def step_wait(context, wait_s):
     subject = context.subject
-    assert subject.judge() == 'quarantined'
+    assert subject.find_standing() == 'quarantined'
     found_s = subject.table.find_wait_s(FINGERPRINT)
     assert round(found_s) == wait_s, found_s
     before_s = subject.now_s
     subject.now_s += wait_s + 0.001
-    assert subject.judge() == 'suspect'
+    assert subject.find_standing() == 'suspect'
     subject.now_s = before_s
 
 
@@ -181,7 +183,7 @@
 @then('{count:d} ends are told with its calls')
 def step_told_ends(context, count):
     table = context.subject.table
-    assert len(table.list_forgiven(FINGERPRINT)) == count
+    assert len(table.list_cleared(FINGERPRINT)) == count
     assert not table.list_crashes(FINGERPRINT)
 
 
@@ -208,7 +210,7 @@
 def step_ends(context):
     table = context.subject.table
     watch = _crash_watch.CrashWatch(table, None, table.now_s)
-    watch.note_end(context.lifetime, context.sent)
+    watch.record_crash(context.lifetime, context.sent)
     (context.record,) = watch.records
 
 
@@ -264,22 +266,22 @@
 
 @given('a suspect of {crashes:d} ends that runs')
 def step_runs(context, crashes):
-    context.desk = _trials.TrialDesk()
-    assert context.desk.begin(FINGERPRINT, crashes)
+    context.scheduler = _trials.TrialScheduler()
+    assert context.scheduler.try_start(FINGERPRINT, crashes)
 
 
 @then('the same suspect may {run} beside it')
 def step_same_suspect(context, run):
-    assert context.desk.begin(FINGERPRINT, 1) == (run == 'run')
+    assert context.scheduler.try_start(FINGERPRINT, 1) == (run == 'run')
 
 
 @then('another one of {crashes:d} ends may {run} beside it')
 def step_other_suspect(context, crashes, run):
     other = make_fingerprint(1)
-    assert context.desk.begin(other, crashes) == (run == 'run')
-    context.desk.end(FINGERPRINT)
+    assert context.scheduler.try_start(other, crashes) == (run == 'run')
+    context.scheduler.finish(FINGERPRINT)
     if run == 'not run':
-        assert context.desk.begin(other, crashes)
+        assert context.scheduler.try_start(other, crashes)
 
 
 @given('{count:d} targets of one set')
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -19,7 +19,7 @@
 
     def ask(self, size: int, times: int) -> int:
         """Ask several times; return how often there was room."""
-        return sum(self.room.ask(size) for _ in range(times))
+        return sum(self.room.reserve(size) for _ in range(times))
 
 
 @given('a host with a link of {mbps:d} Mbit/s')
@@ -51,7 +51,7 @@
 
 @then('{count:d} more once the promises have run out')
 def step_run_out(context, count):
-    context.room.now_s += _room.HOLD_S
+    context.room.now_s += _room.RESERVATION_TIMEOUT_S
     assert context.room.ask(context.size, 5) == count
 
 
@@ -91,7 +91,7 @@
 
 async def _promise(room: _room.LinkRoom) -> None:
     room.now_s = lambda: 0.0
-    assert room.ask(room.limit_bytes)
+    assert room.reserve(room.limit_bytes)
 
 
 @given('a mesh of {hosts:d} hosts with links of {mbps:d} Mbit/s')
--- a/sedgering/mesh/_answer_room.py
+++ b/sedgering/mesh/_answer_room.py
@@ -1,10 +1,10 @@
-"""Room on the link of a target's host for the answers that will leave it.
+"""Admission control for large answers on the link of a target's host.
 
-A download is done when its last byte has left.  On a narrow link that is
-long after the target has finished: eight hosts with 7.5 Mbit/s each carry
-60 Mbit/s, and 74 downloads a second of 90 kB ask for 53.  So the link is
-admitted to like the slots of the target: what it could not carry in time is
-refused before the work is done.
+A download is done when its last byte has left the host.  On a narrow link
+that is long after the target has finished: eight hosts with 7.5 Mbit/s each
+carry 60 Mbit/s, and 74 downloads a second of 90 kB need 53 Mbit/s.  So the
+link is subject to admission control like the slots of the target: a call
+whose answer could not be sent in time is refused before the work is done.
 """
 
 from collections.abc import Callable
@@ -14,26 +14,25 @@
 
 __all__ = ['AnswerRoom']
 
-#: Answers that take less time on the link are not asked for room.
-ASK_FROM_MS = 10.0
-#: Weight of the newest answer in the size of a route's answers: sizes vary by
-#: a factor of five, and about the last twenty count.
+#: Answers that take less time on the link are not limited.
+MIN_TRANSFER_MS = 10.0
+#: Weight of the newest answer in the average size of a route's answers: sizes
+#: vary by a factor of five, and roughly the last twenty answers count.
 SIZE_WEIGHT = 0.05
-#: Backlog of the link up to which a call is taken that misses its goal in any
-#: case: one that may still be in time must not wait behind it for long.
-LATE_BACKLOG_MS = 150.0
+#: Backlog of the link up to which a call is accepted that misses its goal in
+#: any case.  A longer one would delay calls that can still be in time.
+MAX_LATE_BACKLOG_MS = 150.0
 
 
 class AnswerRoom:
-    """Answers that have been promised, and those that wait to be sent.
+    """Tracks answers that are expected and those that wait to be sent.
 
     Parameters
     ----------
     pacer : LinkPacer or None
-        Writes the answers; None where the link is wide: there is always
-        room.
+        Writes the answers; None on a wide link, which is not limited.
     now_s : callable
-        Time of the event loop.
+        Returns the event loop time in seconds.
     """
 
     def __init__(
@@ -41,77 +40,81 @@
     ):
         self.pacer = pacer
         self.now_s = now_s
-        self._promised_bytes = 0.0
+        self._reserved_bytes = 0.0
         self._sizes: dict[base.RouteName, float] = {}
 
     @property
     def wait_ms(self) -> float:
-        """Time until an answer that is ready last would begin to leave."""
+        """Time until the last of the expected answers begins to be sent."""
         if self.pacer is None:
             return 0.0
-        promised_s = self._promised_bytes / self.pacer.bytes_per_s
-        return (promised_s + self.pacer.wait_s) * 1000
+        reserved_s = self._reserved_bytes / self.pacer.bytes_per_s
+        return (reserved_s + self.pacer.wait_s) * 1000
 
     @property
     def backlog_ms(self) -> float:
-        """Time for which the answers that wait will keep the link busy."""
+        """Time for which the queued answers keep the link busy."""
         return 0.0 if self.pacer is None else self.pacer.wait_s * 1000
 
-    def has_room(
+    def can_send_in_time(
         self, route: base.RouteName, work_ms: float, goal_s: float
     ) -> bool:
-        """Say whether the answer to a call can leave in time.
+        """Return whether the answer to a call can be sent in time.
 
         Parameters
         ----------
         route : str
-            Of the call.
+            Route of the call.
         work_ms : float
-            Expected at the target; what is promised leaves meanwhile.
+            Expected work time at the target; answers expected earlier are
+            sent meanwhile.
         goal_s : float
-            Time of the event loop at which the answer is wanted.
+            Latency goal of the call, in seconds of event loop time.
         """
-        transfer_ms = self._find_transfer_ms(route)
-        if transfer_ms < ASK_FROM_MS:
+        transfer_ms = self._estimate_transfer_ms(route)
+        if transfer_ms < MIN_TRANSFER_MS:
             return True
         wait_ms = self.wait_ms
         left_ms = (goal_s - self.now_s()) * 1000
         if left_ms <= work_ms + transfer_ms:
-            return wait_ms <= LATE_BACKLOG_MS
+            return wait_ms <= MAX_LATE_BACKLOG_MS
         return max(wait_ms, work_ms) + transfer_ms <= left_ms
 
-    def promise(self, route: base.RouteName) -> float:
-        """Keep room for an answer; return its expected size in bytes."""
+    def reserve(self, route: base.RouteName) -> float:
+        """Reserve capacity for an answer; return its expected bytes."""
         size_bytes = self._sizes.get(route, 0.0)
-        self._promised_bytes += size_bytes
+        self._reserved_bytes += size_bytes
         return size_bytes
 
-    def end(
-        self, route: base.RouteName, promised: float, size_bytes: int | None
+    def release(
+        self,
+        route: base.RouteName,
+        reserved_bytes: float,
+        size_bytes: int | None,
     ) -> None:
-        """Give room back: the answer is about to be sent, or there is none.
+        """Release a reservation once the answer is ready or the call failed.
 
         Parameters
         ----------
         route : str
-            Of the call.
-        promised : float
-            What :meth:`promise` returned.
+            Route of the call.
+        reserved_bytes : float
+            Return value of :meth:`reserve`.
         size_bytes : int or None
-            Of the answer; None without one.
+            Size of the answer; None without one.
         """
-        self._promised_bytes = max(0.0, self._promised_bytes - promised)
+        self._reserved_bytes = max(0.0, self._reserved_bytes - reserved_bytes)
         if size_bytes is None:
             return
-        old = self._sizes.get(route, size_bytes)
-        self._sizes[route] = old + SIZE_WEIGHT * (size_bytes - old)
+        average = self._sizes.get(route, size_bytes)
+        self._sizes[route] = average + SIZE_WEIGHT * (size_bytes - average)
 
     def retain(self, routes: frozenset[base.RouteName]) -> None:
-        """Forget routes that are no longer in force."""
+        """Remove routes that are no longer configured."""
         for route in self._sizes.keys() - routes:
             del self._sizes[route]
 
-    def _find_transfer_ms(self, route: base.RouteName) -> float:
+    def _estimate_transfer_ms(self, route: base.RouteName) -> float:
         if self.pacer is None:
             return 0.0
         return self._sizes.get(route, 0.0) / self.pacer.bytes_per_s * 1000
--- a/sedgering/mesh/_backlog.py
+++ b/sedgering/mesh/_backlog.py
@@ -1,28 +1,28 @@
-"""Answers that are ready and wait for the link of this host."""
+"""Reports answers that are ready and wait for the link of this host."""
 
 from sedgering.mesh import _answer_room
 from sedgering import transport
 
 __all__ = ['AnswerBacklog']
 
-#: Bytes in sockets that are worth a line: up to one piece is on its way most
-#: of the time.
-QUEUED_FROM_BYTES = 16 * 1024
+#: Bytes in socket buffers from which on they are reported: up to one piece
+#: of an answer is in transit most of the time.
+MIN_QUEUED_BYTES = 16 * 1024
 
 
 class AnswerBacklog:
-    """Tells how much of the answers to peers has not left this host.
+    """Reports how much of the answers to peers has not left this host.
 
-    A caller whose answer waits here sees a target that is slow, and the
-    target is done long ago.  Narrow links queue in the pacer; what a link
-    takes more slowly than the pacer expects queues in sockets.
+    A caller whose answer is delayed here sees a slow target, although the
+    target finished long ago.  On narrow links answers queue in the pacer;
+    where a link is slower than the pacer assumes, they queue in sockets.
 
     Parameters
     ----------
     service : Service
-        Answers the peers.
+        Service that answers peers.
     room : AnswerRoom
-        Knows the pacer.
+        Holds the pacer of the link.
     """
 
     def __init__(
@@ -32,10 +32,10 @@
         self.room = room
 
     def describe(self) -> str:
-        """Say what waits; nothing when answers leave as they come."""
+        """Describe the delayed answers; empty when none is delayed."""
         load = self.service.find_load()
         in_sockets = load.unacknowledged_bytes
-        if not load.held_bytes and in_sockets < QUEUED_FROM_BYTES:
+        if not load.held_bytes and in_sockets < MIN_QUEUED_BYTES:
             return ''
         return (
             f'{load.answers} wait for the link: {load.held_bytes} bytes held,'
@@ -43,7 +43,7 @@
         )
 
     def find_gauges(self) -> dict[str, float]:
-        """Return the present values for metrics."""
+        """Return the current values of the metrics."""
         load = self.service.find_load()
         return {
             'peer_answers_waiting': load.answers,
--- a/sedgering/mesh/_crash_records.py
+++ b/sedgering/mesh/_crash_records.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of targets that have ended."""
+"""Records of target crashes that daemons exchange."""
 
 from typing import Annotated, NewType
 
@@ -14,36 +14,37 @@
     'MOST_SUSPECTS',
 ]
 
-#: Names the end of one lifetime of a target, in a header field.
+#: Identifies the crash of one lifetime of a target, in a header field.
 CrashId = NewType('CrashId', str)
 _CrashId = Annotated[CrashId, msgspec.Meta(pattern=r'^[!-~]{1,220}\Z')]
 _Fingerprint = Annotated[
     base.Fingerprint, msgspec.Meta(pattern=r'^[0-9a-f]{8}-[0-9a-f]{16}\Z')
 ]
-#: Requests that are told with an end: a target has some places, and a few
-#: that ended just before.
+#: Maximum number of requests in a record: those in all slots of a target, and
+#: a few that ended just before.
 MOST_SUSPECTS = 32
 _Fingerprints = Annotated[
     tuple[_Fingerprint, ...], msgspec.Meta(max_length=MOST_SUSPECTS)
 ]
-#: Ends that a row tells of, 8 KB at the most.
+#: Maximum number of crashes in a member row, which take up to 8 KB.
 MOST_CRASHES = 4
 
 
 class CrashRecord(msgspec.Struct, frozen=True):
-    """The end of a lifetime that had not said that it was leaving.
+    """The crash of one lifetime: it ended without deregistering.
 
     Parameters
     ----------
     crash : CrashId
-        Of this end.
+        Id of the crash.
     ended_ms : int
-        Unix time at which the daemon beside it saw it.
+        Unix time in milliseconds at which the local daemon detected it.
     suspects : tuple of Fingerprint
-        Requests that were under way, or had ended without answer just before.
+        Requests that were running, or had failed without an answer just
+        before.
     trials : tuple of Fingerprint
-        Of these, the ones of which it was known that targets had ended under
-        them, and that ran nowhere else.
+        Those of the suspects that were already suspected, and so ran at no
+        other host.
     """
 
     crash: _CrashId
@@ -53,12 +54,12 @@
 
 
 class CrashEvidence(msgspec.Struct, frozen=True):
-    """One end of a target that speaks against a request.
+    """One crash that counts against a request.
 
     Parameters
     ----------
     crash : CrashId
-        Of the end.
+        Id of the crash.
     was_trial : bool
         Whether the request ran there as a suspect.
     """
--- a/sedgering/mesh/_crash_watch.py
+++ b/sedgering/mesh/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Sees that the local target has ended without a word, and under what."""
+"""Detects crashes of the local target and names the suspect requests."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,24 +19,24 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Longest wait for an answer of the own host, which takes 0.1 ms: senders of
-#: lost calls wait for it.
-ASK_TIMEOUT_MS = 100
-ASK_TIMEOUT_S = ASK_TIMEOUT_MS / 1000
+#: Timeout of the probe.  A connection on the own host takes 0.1 ms, and the
+#: senders of lost calls wait for the result.
+PROBE_TIMEOUT_MS = 100
+PROBE_TIMEOUT_S = PROBE_TIMEOUT_MS / 1000
 
 
 class SentCall(msgspec.Struct, frozen=True):
-    """A call at the target.
+    """A call that was sent to the target.
 
     Parameters
     ----------
     request : Request
-        That was sent.
+        Request that was sent.
     lifetime : Lifetime
-        To which.
+        Lifetime that received it.
     at_s, deadline_s : float
-        When it was sent, and until when it is to be answered, as times of
-        the event loop.
+        Time at which it was sent, and its deadline, in seconds of event loop
+        time.
     is_trial : bool
         Whether it runs as a suspect.
     """
@@ -49,19 +49,19 @@
 
 
 class CrashWatch:
-    """Watches one target from the daemon beside it.
+    """Detects crashes of the local target.
 
-    A connection that ends without an answer says little: targets also reset
-    single connections.  That nobody listens any more says that it has ended.
+    A connection that closes without an answer proves little, because targets
+    also reset single connections.  A refused connection proves a crash.
 
     Parameters
     ----------
     crashes : CrashTable
-        Is told of each end.
+        Receives a record of each crash.
     is_listening : callable
-        Asks whether the target takes connections.
+        Coroutine function that returns whether the target accepts connections.
     now_s : callable
-        Time of the event loop.
+        Returns the event loop time in seconds.
     """
 
     def __init__(
@@ -72,91 +72,91 @@
     ):
         self.crashes = crashes
         self.now_s = now_s
-        #: Told to other daemons with the row of this host.
+        #: Recent crashes, sent to other daemons in the member row.
         self.records: tuple[_crash_records.CrashRecord, ...] = ()
-        #: Is told of each end, with a record that may name no request.
+        #: Called with the record of each crash, which may name no request.
         self.on_end: Callable[[_crash_records.CrashRecord], None] = _ignore
         self._is_listening = is_listening
         self._lost = _lost_calls.LostCalls()
-        self._question: asyncio.Task | None = None
+        self._probe: asyncio.Task | None = None
 
-    def note_lost(self, sent: SentCall) -> None:
-        """Take in a call that ended without an answer."""
+    def add_lost_call(self, sent: SentCall) -> None:
+        """Add a call that ended without an answer."""
         fingerprint = self.crashes.make_fingerprint(sent.request)
-        self._lost.note(
-            fingerprint, sent.lifetime, sent.is_trial, self.now_s()
-        )
+        self._lost.add(fingerprint, sent.lifetime, sent.is_trial, self.now_s())
 
-    async def has_ended(self) -> bool:
-        """Ask whether the target has ended.
+    async def has_crashed(self) -> bool:
+        """Probe whether the target has crashed.
 
-        Calls that are lost at the same moment share one question, which
-        opens a connection.
+        Calls that are lost at the same time share one probe, which opens a
+        connection.
         """
-        if self._question is None or self._question.done():
+        if self._probe is None or self._probe.done():
             loop = asyncio.get_running_loop()
-            self._question = loop.create_task(self._ask())
-        return await asyncio.shield(self._question)
+            self._probe = loop.create_task(self._run_probe())
+        return await asyncio.shield(self._probe)
 
-    async def _ask(self) -> bool:
+    async def _run_probe(self) -> bool:
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 return not await self._is_listening()
         except TimeoutError:
-            LOG.info('target not asked', extra={'wait_ms': ASK_TIMEOUT_MS})
+            LOG.info(
+                'target probe timed out', extra={'wait_ms': PROBE_TIMEOUT_MS}
+            )
             return False
 
-    def note_end(
+    def record_crash(
         self,
         lifetime: _messages.Lifetime,
-        under_way: Iterable[SentCall],
+        in_flight: Iterable[SentCall],
     ) -> None:
-        """Write down the end of a lifetime, and tell of it.
+        """Record the crash of a lifetime and publish it.
 
         Parameters
         ----------
         lifetime : Lifetime
-            That has ended.
-        under_way : iterable of SentCall
+            Lifetime that crashed.
+        in_flight : iterable of SentCall
             Calls that it had not answered.
         """
-        for sent in under_way:
-            self.note_lost(sent)
+        for sent in in_flight:
+            self.add_lost_call(sent)
         suspects = self._lost.take(lifetime, self.now_s())
-        # Those that ran as suspects first, then those that began last.
+        # Requests that ran as suspects first, then the latest ones.
         ranked = sorted(suspects, key=suspects.get, reverse=True)
-        named = ranked[: _crash_records.MOST_SUSPECTS]
+        selected = ranked[: _crash_records.MOST_SUSPECTS]
         record = _crash_records.CrashRecord(
             _crash_records.CrashId(f'{lifetime.target}@{lifetime.born_ms}'),
             clock.wall_ms(),
-            tuple(named),
-            tuple(item for item in named if suspects[item]),
+            tuple(selected),
+            tuple(item for item in selected if suspects[item]),
         )
         LOG.info(
-            'target lost',
+            'target crashed',
             extra={
                 'target': lifetime.target,
                 'fingerprints': record.suspects,
             },
         )
         if suspects:
-            self._keep(record)
+            self._add_record(record)
             self.crashes.take_record(record)
         self.on_end(record)
 
     def restore(self, records: tuple[_crash_records.CrashRecord, ...]) -> None:
-        """Keep what an earlier lifetime of this daemon has told."""
+        """Add the records that this daemon published before its restart."""
         own = self.records
         self.records = ()
         for record in dict.fromkeys((*records, *own)):
-            self._keep(record)
+            self._add_record(record)
 
-    def _keep(self, record: _crash_records.CrashRecord) -> None:
-        """Add a record; leave out the oldest, and those of long ago."""
-        oldest_ms = clock.wall_ms() - _crashes.KEEP_S * 1000
+    def _add_record(self, record: _crash_records.CrashRecord) -> None:
+        """Add a record; drop expired ones and those beyond the limit."""
+        oldest_ms = clock.wall_ms() - _crashes.RETENTION_S * 1000
         recent = [item for item in self.records if item.ended_ms > oldest_ms]
         self.records = (*recent, record)[-_crash_records.MOST_CRASHES :]
 
 
 def _ignore(_record: _crash_records.CrashRecord) -> None:
-    """Tell nobody."""
+    """Ignore a crash; used until a handler is set."""
--- a/sedgering/mesh/_crashes.py
+++ b/sedgering/mesh/_crashes.py
@@ -1,16 +1,16 @@
-"""Requests under which targets ended, as all daemons know of them.
+"""Requests during which targets crashed, as known to all daemons.
 
-A request that ends each target that begins it comes again, at any host.  When
-a target ends, the daemon beside it says which requests were under way.  These
-are suspects, and run at one place only; one under which two more targets end
-there is not begun any more.  A request that does no harm is answered sooner or
-later, and is cleared by it.
+A request that crashes each target that starts it is retried at any host.  When
+a target crashes, its daemon reports which requests were running.  These are
+suspects, and each runs at one host only; after two more crashes there it is
+quarantined and not started any more.  A harmless request is answered sooner or
+later, which clears it.
 
-Ends before a request was a suspect count as one: targets that end together for
-a cause of their own have the same popular request under way.
+Crashes before a request was a suspect count as one: targets that crash
+together for another cause have the same popular request running.
 
-With six targets and the request asked 20 times a second, 3 targets end where
-38 to 47 did, in 3 s (features/crashes.feature, before and after).
+With six targets and the request sent 20 times a second, 3 targets crash in
+3 s, compared to 38 to 47 without this protection.
 """
 
 from collections.abc import Callable
@@ -32,90 +32,90 @@
 
 LOG = logging.getLogger(__name__)
 
-#: For how long a request is held back at first: what makes it harmless is
-#: most often a release of its targets, which takes minutes, and a trial may
-#: cost a target for some seconds, with all that it has under way.
-FIRST_HOLD_S = 120.0
-#: How much longer after each trial that ends a target: 2, 20, 200 minutes.
-HOLD_FACTOR = 10.0
-LONGEST_HOLD_S = 24 * 3600.0
-#: Share of a hold after which an end counts as that of a trial; the others
-#: are of what was under way when the request was first held back.
-TRIAL_SHARE = 0.5
-#: For how long an end is held against a request that is not held back.
-KEEP_S = 3600.0
-#: Requests remembered, some 900 bytes each.  An end names a dozen.
+#: First quarantine of a request.  What makes it harmless is most often a
+#: release of its targets, which takes minutes, while a trial may cost a target
+#: for some seconds, with all calls that it runs.
+FIRST_QUARANTINE_S = 120.0
+#: Factor by which it grows after each trial with a crash: 2, 20, 200 minutes.
+QUARANTINE_FACTOR = 10.0
+MAX_QUARANTINE_S = 24 * 3600.0
+#: Share of a quarantine after which a crash counts as that of a trial; earlier
+#: ones are of calls that were running when the quarantine began.
+MIN_TRIAL_SHARE = 0.5
+#: Time for which a crash counts against a request that is not quarantined.
+RETENTION_S = 3600.0
+#: Maximum number of requests, some 900 bytes each.  A crash names a dozen.
 ENTRIES_LIMIT = 512
-#: Ends remembered of one request, forgiven ones too, the last ones: they go
-#: with its calls, some 35 bytes each.
-ENDS_LIMIT = 64
-#: Less than both values of an end that is known.
-NOT_KNOWN = -1
+#: Maximum number of crashes of one request, including cleared ones.  They are
+#: sent with its calls, some 35 bytes each; the latest are kept.
+CRASHES_LIMIT = 64
+#: Stands for `was_trial` of an unknown crash; less than both its values.
+UNKNOWN_CRASH = -1
 
 
 class Standing(enum.Enum):
-    """What is known of a request."""
+    """Whether a request may run."""
 
-    #: Nothing, or that a target has answered it since.
+    #: No crash is known, or a target has answered the request since.
     SOUND = 'sound'
-    #: Targets have ended under it: it may run at one place only.
+    #: Targets have crashed during the request: it may run at one host only.
     SUSPECT = 'suspect'
-    #: It is not begun.
+    #: The request is not started.
     QUARANTINED = 'quarantined'
 
 
 class _Entry(msgspec.Struct):
-    """What is known of one request.
+    """Crashes and quarantine of one request.
 
     Parameters
     ----------
     crashes : dict of CrashId to bool
-        Ends while it was under way, the last one at the end, and whether it
-        ran there as a suspect.
-    forgiven : dict of CrashId
-        Those that came before a target answered it.
-    blamed_s : float
-        When it was blamed last, as time of the event loop.
-    held_s, hold_s : float
-        Since when it is held back, and for how long.
+        Crashes during the request, the latest last, and whether it ran as a
+        suspect.
+    cleared : dict of CrashId
+        Crashes that count no more, because a target answered the request.
+    last_crash_s : float
+        Time at which a crash was last added, in seconds of event loop time.
+    quarantined_s, quarantine_s : float
+        Start of the quarantine in event loop time, and its duration.
     """
 
     crashes: dict[_crash_records.CrashId, bool]
-    forgiven: dict[_crash_records.CrashId, None]
-    blamed_s: float
-    held_s: float = 0.0
-    hold_s: float = 0.0
+    cleared: dict[_crash_records.CrashId, None]
+    last_crash_s: float
+    quarantined_s: float = 0.0
+    quarantine_s: float = 0.0
 
     @property
-    def count(self) -> int:
-        """Ends that speak against it, the first ones together as one."""
+    def crash_count(self) -> int:
+        """Crashes that count; those outside trials together count as one."""
         trials = [
             was_trial
             for crash, was_trial in self.crashes.items()
-            if crash not in self.forgiven
+            if crash not in self.cleared
         ]
         return sum(trials) + (not all(trials))
 
     @property
-    def due_s(self) -> float:
-        """When it may be tried once more."""
-        return self.held_s + self.hold_s
+    def retry_s(self) -> float:
+        """Time at which the request may be tried again."""
+        return self.quarantined_s + self.quarantine_s
 
 
 class CrashTable:
-    """What is known of requests under which targets ended.
+    """Table of requests during which targets crashed.
 
-    Daemons tell each other of ends, in any order and more than once; each
-    end has an id, so that it counts once.
+    Daemons report crashes to each other in any order and more than once;
+    each crash has an id, so that it counts once.
 
     Parameters
     ----------
     caller_fields : iterable of str
-        Header fields, in lower case, that say who asks.
+        Header fields, in lower case, that identify the caller.
     limit : int
-        Ends after which a request is held back; 0 for never.
+        Crashes after which a request is quarantined; 0 for never.
     now_s : callable
-        Time of the event loop.
+        Returns the event loop time in seconds.
     """
 
     def __init__(
@@ -128,88 +128,88 @@
         self.limit = limit
         self.now_s = now_s
         self._entries: dict[base.Fingerprint, _Entry] = {}
-        #: Starts of the fingerprints, which rule most requests out.
-        self._heads: set[str] = set()
+        #: First parts of the fingerprints, which exclude most requests.
+        self._head_hashes: set[str] = set()
 
     def __len__(self) -> int:
-        """Return the number of requests that are known."""
+        """Return the number of requests in the table."""
         return len(self._entries)
 
     @property
     def quarantined(self) -> int:
-        """Requests that are held back."""
+        """Number of quarantined requests."""
         return sum(
-            entry.count >= self.limit for entry in self._entries.values()
+            entry.crash_count >= self.limit for entry in self._entries.values()
         )
 
     def make_fingerprint(self, request: transport.Request) -> base.Fingerprint:
-        """Return what tells a request from others."""
+        """Return the fingerprint of a request."""
         return _fingerprint.make_fingerprint(request, self.caller_fields)
 
     def find(self, request: transport.Request) -> base.Fingerprint | None:
-        """Return the fingerprint of a request if anything is known of it.
+        """Return the fingerprint of a request if it is in the table.
 
-        Takes 0.04 us while no target has ended, then 0.4 us for a request of
-        another URL (bench_crashes.py).
+        Takes 0.04 us while the table is empty, otherwise 0.4 us for a request
+        of another URL.
         """
         if not self._entries:
             return None
-        if _fingerprint.hash_head(request) not in self._heads:
+        if _fingerprint.hash_head(request) not in self._head_hashes:
             return None
         fingerprint = self.make_fingerprint(request)
         return fingerprint if fingerprint in self._entries else None
 
-    def judge(self, fingerprint: base.Fingerprint) -> Standing:
-        """Return what is known of a request."""
+    def find_standing(self, fingerprint: base.Fingerprint) -> Standing:
+        """Return whether a request may run."""
         entry = self._entries.get(fingerprint)
-        if entry is None or not entry.count:
+        if entry is None or not entry.crash_count:
             return Standing.SOUND
-        if entry.count < self.limit or self.now_s() >= entry.due_s:
+        if entry.crash_count < self.limit or self.now_s() >= entry.retry_s:
             return Standing.SUSPECT
         return Standing.QUARANTINED
 
     def count_crashes(self, fingerprint: base.Fingerprint) -> int:
-        """Return how many ends speak against a request."""
+        """Return the number of crashes that count against a request."""
         entry = self._entries.get(fingerprint)
-        return entry.count if entry else 0
+        return entry.crash_count if entry else 0
 
     def list_crashes(
         self, fingerprint: base.Fingerprint
     ) -> tuple[_crash_records.CrashEvidence, ...]:
-        """Return the ends that speak against a request."""
+        """Return the crashes that count against a request."""
         entry = self._entries.get(fingerprint)
         if entry is None:
             return ()
         return tuple(
             _crash_records.CrashEvidence(crash, was_trial)
             for crash, was_trial in entry.crashes.items()
-            if crash not in entry.forgiven
+            if crash not in entry.cleared
         )
 
-    def list_forgiven(
+    def list_cleared(
         self, fingerprint: base.Fingerprint
     ) -> tuple[_crash_records.CrashId, ...]:
-        """Return the ends that speak no more against a request."""
+        """Return the crashes that no longer count against a request."""
         entry = self._entries.get(fingerprint)
-        return tuple(entry.forgiven) if entry else ()
+        return tuple(entry.cleared) if entry else ()
 
     def find_wait_s(self, fingerprint: base.Fingerprint) -> float:
-        """Return the time until a request that is held back may be tried."""
+        """Return the time until a quarantined request may be tried."""
         entry = self._entries.get(fingerprint)
-        return max(0.0, entry.due_s - self.now_s()) if entry else 0.0
+        return max(0.0, entry.retry_s - self.now_s()) if entry else 0.0
 
     def take_row(self, row: _messages.MemberRow) -> None:
-        """Take in the ends that a row tells of.
+        """Add the recent crashes that a member row reports.
 
-        A row that nobody has written since may be of last month.
+        Old records are skipped: a row may not have been written for a month.
         """
         now_ms = clock.wall_ms()
         for record in row.crashes:
-            if abs(now_ms - record.ended_ms) <= KEEP_S * 1000:
+            if abs(now_ms - record.ended_ms) <= RETENTION_S * 1000:
                 self.take_record(record)
 
     def take_record(self, record: _crash_records.CrashRecord) -> None:
-        """Take in that a target has ended."""
+        """Add the crash of a target."""
         for fingerprint in record.suspects:
             was_trial = fingerprint in record.trials
             evidence = _crash_records.CrashEvidence(record.crash, was_trial)
@@ -220,7 +220,7 @@
         fingerprint: base.Fingerprint,
         crashes: Iterable[_crash_records.CrashEvidence],
     ) -> None:
-        """Take in ends of targets while a request was under way."""
+        """Add crashes of targets that were running a request."""
         if not self.limit:
             return
         entry = self._entries.get(fingerprint)
@@ -228,96 +228,99 @@
         new = {
             item.crash: item.was_trial
             for item in crashes
-            if item.was_trial > known.get(item.crash, NOT_KNOWN)
+            if item.was_trial > known.get(item.crash, UNKNOWN_CRASH)
         }
         if not new:
             return
         now_s = self.now_s()
         if entry is None:
-            self._forget_some(now_s)
+            self._evict_entries(now_s)
             entry = self._entries[fingerprint] = _Entry({}, {}, now_s)
-            self._heads.add(_read_head(fingerprint))
+            self._head_hashes.add(_read_head_hash(fingerprint))
         entry.crashes.update(new)
-        _keep_last(entry.crashes)
-        entry.blamed_s = now_s
-        if entry.count >= self.limit:
-            self._hold(fingerprint, entry, now_s)
+        _trim_oldest(entry.crashes)
+        entry.last_crash_s = now_s
+        if entry.crash_count >= self.limit:
+            self._quarantine(fingerprint, entry, now_s)
 
-    def forgive(
+    def clear(
         self,
         fingerprint: base.Fingerprint,
         crashes: Iterable[_crash_records.CrashId] | None = None,
     ) -> None:
-        """Take in that a target has answered a request.
+        """Clear crashes of a request after a target has answered it.
 
         Parameters
         ----------
         fingerprint : Fingerprint
-            Of the request.
+            Fingerprint of the request.
         crashes : iterable of CrashId or None
-            Ends known where it was answered; those that are known here where
-            it is left out.
+            Crashes known where it was answered; those known here if omitted.
         """
         entry = self._entries.get(fingerprint)
         if entry is None:
             return
-        was_held = entry.count >= self.limit
-        told = entry.crashes if crashes is None else crashes
-        entry.forgiven.update(dict.fromkeys(told))
-        _keep_last(entry.forgiven)
-        if not was_held or entry.count >= self.limit:
+        was_quarantined = entry.crash_count >= self.limit
+        answered = entry.crashes if crashes is None else crashes
+        entry.cleared.update(dict.fromkeys(answered))
+        _trim_oldest(entry.cleared)
+        if not was_quarantined or entry.crash_count >= self.limit:
             return
-        entry.held_s = entry.hold_s = 0.0
+        entry.quarantined_s = entry.quarantine_s = 0.0
         LOG.info('request cleared', extra={'fingerprint': fingerprint})
 
-    def _hold(
+    def _quarantine(
         self, fingerprint: base.Fingerprint, entry: _Entry, now_s: float
     ) -> None:
-        """Hold a request back, longer after each trial."""
-        if not entry.hold_s:
-            entry.hold_s = FIRST_HOLD_S
-        elif now_s - entry.held_s < TRIAL_SHARE * entry.hold_s:
+        """Quarantine a request, for longer after each failed trial."""
+        if not entry.quarantine_s:
+            entry.quarantine_s = FIRST_QUARANTINE_S
+        elif (
+            now_s - entry.quarantined_s < MIN_TRIAL_SHARE * entry.quarantine_s
+        ):
             return
         else:
-            entry.hold_s = min(LONGEST_HOLD_S, HOLD_FACTOR * entry.hold_s)
-        entry.held_s = now_s
+            entry.quarantine_s = min(
+                MAX_QUARANTINE_S, QUARANTINE_FACTOR * entry.quarantine_s
+            )
+        entry.quarantined_s = now_s
         LOG.warning(
             'request quarantined',
             extra={
                 'fingerprint': fingerprint,
                 'crashes': list(entry.crashes),
-                'wait_ms': int(entry.hold_s * 1000),
+                'wait_ms': int(entry.quarantine_s * 1000),
             },
         )
 
-    def _forget_some(self, now_s: float) -> None:
-        """Make room for one more entry; forget what is long ago."""
-        old = [
+    def _evict_entries(self, now_s: float) -> None:
+        """Evict expired entries, or one if the table is full."""
+        expired = [
             fingerprint
             for fingerprint, entry in self._entries.items()
-            if now_s - max(entry.blamed_s, entry.due_s) > KEEP_S
+            if now_s - max(entry.last_crash_s, entry.retry_s) > RETENTION_S
         ]
-        if not old and len(self._entries) >= ENTRIES_LIMIT:
-            # A request that is held back goes last.
-            old = [
+        if not expired and len(self._entries) >= ENTRIES_LIMIT:
+            # Quarantined requests are evicted last.
+            expired = [
                 min(
                     self._entries,
                     key=lambda item: (
-                        self._entries[item].hold_s,
-                        self._entries[item].blamed_s,
+                        self._entries[item].quarantine_s,
+                        self._entries[item].last_crash_s,
                     ),
                 )
             ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self._entries[fingerprint]
-        if old:
-            self._heads = set(map(_read_head, self._entries))
+        if expired:
+            self._head_hashes = set(map(_read_head_hash, self._entries))
 
 
-def _keep_last(ends: dict[_crash_records.CrashId, Any]) -> None:
-    for crash in list(ends)[:-ENDS_LIMIT]:
-        del ends[crash]
+def _trim_oldest(recent: dict[_crash_records.CrashId, Any]) -> None:
+    for crash in list(recent)[:-CRASHES_LIMIT]:
+        del recent[crash]
 
 
-def _read_head(fingerprint: base.Fingerprint) -> str:
+def _read_head_hash(fingerprint: base.Fingerprint) -> str:
     return fingerprint.partition(_fingerprint.SEPARATOR)[0]
--- a/sedgering/mesh/_gate.py
+++ b/sedgering/mesh/_gate.py
@@ -1,15 +1,15 @@
-"""The gate before the local target: admits, lets wait, or refuses.
-
-A call waits only while it is likely to be served.  One that will probably
-end within its latency goal waits before those that are late in any case; a
-late one waits only for places that the others leave free.  Whatever is not
-expected to be served in its time is refused at once, so that its caller can
-go elsewhere or come back.
-
-Refusing at arrival what cannot end in its goal keeps a standing queue from
-forming.  With a set that is offered 1.1 times what it can do for three
-seconds, 79 % of its callers are answered within their goal; with a queue up
-to the deadline 34 % are (`sedgering.model`, load lasting-overload).
+"""Admission control for the local target: admits, queues or refuses calls.
+
+A call is queued only while it is likely to be served.  Calls that can
+probably end within their latency goal are queued ahead of late ones; a late
+call gets only slots that the others leave free.  A call that is not expected
+to end in time is refused at once, so that its caller can try another host or
+retry later.
+
+Refusing on arrival keeps a standing queue from forming.  In a simulation of
+a target set that is offered 1.1 times its capacity for three seconds, 79 % of
+its callers are answered within their goal; with a queue that holds calls up
+to their deadline 34 % are.
 """
 
 import asyncio
@@ -29,46 +29,45 @@
 
 __all__ = ['CallResult', 'Gate', 'GateRefused', 'Ticket']
 
-#: Weight of the newest result in the share of failures: about the last
-#: thirty calls count.
+#: Weight of the newest result in the moving average of the failure share:
+#: roughly the last thirty calls count.
 FAILURE_WEIGHT = 0.03
-#: Share of a route's calls that end within the work time that must fit
-#: before the goal.
-LIKELY_SHARE = 0.85
-#: Longest wait that is told where no end is in sight.
-LONGEST_WAIT_MS = 10_000
-#: Share of the places that late calls leave free: one of a dozen.  A call
-#: that comes a moment later and may still be in time finds it.  Without it
-#: 72 to 84 % of the callers of a set that is short of places end in their
-#: goal, with it 76 to 85 %, and with twice as many 75 to 84 % (load patterns
-#: short-of-inner-targets, lasting-overload and burst).
-RESERVE_SHARE = 0.08
-#: Shortest time after which a waiter is looked at again: about the time in
-#: which one of a dozen places becomes free.
-LEAST_REVIEW_MS = 10
+#: Quantile of a route's work times that must fit before the goal.
+WORK_QUANTILE = 0.85
+#: Upper bound of `retry_after_ms`, also where the estimated wait is infinite.
+MAX_RETRY_AFTER_MS = 10_000
+#: Share of the slots that late calls leave free: one of a dozen.  A call in
+#: time that arrives a moment later finds it.  In simulated overloads of a
+#: target set that is short of slots, 72 to 84 % of the callers end within
+#: their goal without the reserve, 76 to 85 % with it, and 75 to 84 % with
+#: twice as many reserved slots.
+RESERVED_SHARE = 0.08
+#: Shortest time until a queued call is reviewed: about the time in which one
+#: of a dozen slots becomes free.
+MIN_REVIEW_MS = 10
 
 
 class CallResult(enum.Enum):
-    """How a call ended, as far as its target shows."""
+    """Result of a call, as far as it tells about the target."""
 
     DONE = 'done'
-    #: The target refused before work.
+    #: The target refused the call before doing any work.
     REFUSED = 'refused'
-    #: An error of the target's, or no whole answer.
+    #: The target returned a server error, or no complete answer.
     FAILED = 'failed'
-    #: The caller went away; nothing is learned.
+    #: The caller cancelled the call, which tells nothing about the target.
     CANCELLED = 'cancelled'
 
 
 class GateRefused(Exception):
-    """The call was refused before any work.
+    """A call was refused before any work was done.
 
     Parameters
     ----------
     reason : RefusalReason
-        Why.
+        Reason for the refusal.
     retry_after_ms : int
-        When it may be tried again.
+        Time after which the call may be retried, in milliseconds.
     """
 
     def __init__(
@@ -80,26 +79,27 @@
 
 
 class Ticket(msgspec.Struct):
-    """What the gate needs to know of a call.
+    """Properties of a call that admission depends on.
 
     Parameters
     ----------
     route : str
-        Work times are kept by route.
+        Route of the call; work times are kept per route.
     priority : int
-        0 is served first.
+        Priority of the call; 0 is served first.
     urgency : CallUrgency
-        Who waits for it.
+        Whether a caller or a target waits for the answer.
     deadline_s, goal_s : float
-        Times of the event loop.
+        Deadline and latency goal, in seconds of event loop time.
     may_wait : bool
-        Whether it may wait for a place.
+        Whether the call may be queued for a slot.
     workspace : str
-        That asks.
+        Workspace that issued the call.
     workspace_priority : int
-        Its rank, before `priority`; 0 is served first.
+        Priority of the workspace, compared before `priority`; 0 is served
+        first.
     standing : Standing
-        How its workspace has fared at this gate; set as it enters.
+        Recent share of service of the workspace; set by :meth:`Gate.enter`.
     """
 
     route: base.RouteName
@@ -114,18 +114,19 @@
 
     @property
     def is_nested(self) -> bool:
-        """Whether a target waits for it, and holds a place meanwhile."""
+        """Whether a target issued it, and holds a slot until it ends."""
         return self.urgency is _messages.CallUrgency.TARGET
 
-    def make_rank(self, is_late: bool) -> tuple:
-        """Return its place in the order of service.
+    def make_sort_key(self, is_late: bool) -> tuple:
+        """Return the sort key of the call in the queue.
 
-        Calls of targets first: their parents hold places.  Then what can
-        end in its goal, and what cannot last: a place gives an answer in
-        time to one or a late answer to the other.  Among those a workspace
-        that is served far less often than others goes first; then they go
-        by the priority of the workspace and their own, and those of a
-        workspace that has had more than its share last of their rank.
+        Calls issued by targets go first, because their parent calls hold
+        slots.  Then calls that can end within their goal go before late ones:
+        a slot gives either an answer in time to one or a late answer to the
+        other.  Among those, a workspace that is served far less often than
+        others goes first; then calls are ordered by the priority of the
+        workspace and their own.  Within one priority, a workspace that has
+        had more than its share goes last.
         """
         until_s = self.deadline_s if is_late else self.goal_s
         return (
@@ -147,19 +148,19 @@
         self.is_late = is_late
         self.future = future
         self.timer: asyncio.TimerHandle | None = None
-        #: Expected when it was last looked at.
+        #: Wait that was estimated at the last review.
         self.wait_ms = 0.0
 
 
 class Gate:
-    """Keeps at most `limit` calls at the target, and a short queue.
+    """Limits concurrent calls at the target and keeps a short queue.
 
     Parameters
     ----------
     mesh_settings : MeshSettings
-        Limits.
+        Settings of the queue.
     now_s : callable
-        Time of the event loop.
+        Returns the event loop time in seconds.
     """
 
     def __init__(
@@ -169,12 +170,12 @@
     ):
         self.mesh_settings = mesh_settings
         self.now_s = now_s
-        #: Most calls at a time: the places that the target tells.
+        #: Maximum number of concurrent calls, as the target reports it.
         self.limit = 1
         self.running = 0
         self.is_open = False
-        self.work = _work.WorkTimes(LIKELY_SHARE)
-        #: Of all calls that go before late ones.
+        self.work = _work.WorkTimes(WORK_QUANTILE)
+        #: Demand of all calls that are served before late ones.
         self._demand = _demand.Demand(now_s)
         self._queue: list[tuple[tuple, int, _Waiter]] = []
         self._shares = overload.RoomShares()
@@ -183,7 +184,7 @@
 
     @property
     def waiting(self) -> int:
-        """Calls that wait."""
+        """Number of queued calls."""
         return len(self._queue)
 
     @property
@@ -191,30 +192,30 @@
         return sum(entry[-1].ticket.is_nested for entry in self._queue)
 
     def open(self, slots: int) -> None:
-        """Take new calls."""
+        """Admit calls, up to `slots` at a time."""
         self.limit = slots
         self.is_open = True
         self._admit_waiting()
 
     def renew(self) -> None:
-        """Forget what was learnt: another lifetime of the target is there."""
-        self.work = _work.WorkTimes(LIKELY_SHARE)
+        """Reset the statistics when the target was replaced."""
+        self.work = _work.WorkTimes(WORK_QUANTILE)
         self._failure_share = 0.0
 
     def close(self, reason: _messages.RefusalReason) -> None:
-        """Refuse new calls and those that wait; the rest goes on."""
+        """Refuse new and queued calls; running calls continue."""
         self.is_open = False
         queue, self._queue = self._queue, []
-        for _rank, _sequence, waiter in queue:
+        for _key, _sequence, waiter in queue:
             self._refuse(waiter, reason)
 
     def make_report(self, route: base.RouteName) -> _messages.LoadReport:
-        """Make what other daemons are told with each answer.
+        """Make the load report that is sent to peers with an answer.
 
         Parameters
         ----------
         route : str
-            Of the call that is answered.
+            Route of the call that is answered.
         """
         return _messages.LoadReport(
             self.running,
@@ -228,34 +229,34 @@
         )
 
     async def enter(self, ticket: Ticket) -> None:
-        """Wait for a place at the target.
+        """Wait for a slot at the target.
 
         Raises
         ------
         GateRefused
-            When the gate is closed, or the call is not expected to be
-            served in its time.
+            When the gate is closed, or the call is not expected to end in
+            time.
         """
         if not self.is_open:
             raise GateRefused(_messages.RefusalReason.LEAVING)
-        self._judge_workspace(ticket)
+        self._classify_workspace(ticket)
         is_late = self._is_late(ticket)
-        is_next = self._is_next(ticket, is_late)
-        if not is_late and (is_next or ticket.may_wait):
+        can_start = self._can_start(ticket, is_late)
+        if not is_late and (can_start or ticket.may_wait):
             self._demand.note(self.work.find_mean_ms(ticket.route))
-        if is_next:
-            self._take_place(ticket)
+        if can_start:
+            self._occupy_slot(ticket)
             return
         wait_ms = self._estimate_wait_ms(ticket, is_late)
         if not ticket.may_wait:
             raise GateRefused(
                 _messages.RefusalReason.BUSY,
-                int(min(wait_ms, LONGEST_WAIT_MS)),
+                int(min(wait_ms, MAX_RETRY_AFTER_MS)),
             )
-        if not self._can_serve(ticket, is_late, wait_ms):
+        if not self._can_end_in_time(ticket, is_late, wait_ms):
             raise GateRefused(
                 _messages.RefusalReason.SHED,
-                int(min(wait_ms, LONGEST_WAIT_MS)),
+                int(min(wait_ms, MAX_RETRY_AFTER_MS)),
             )
         waiter = self._enqueue(ticket, is_late, wait_ms)
         try:
@@ -263,50 +264,50 @@
         except asyncio.CancelledError:
             if waiter.future.done() and not waiter.future.cancelled():
                 if waiter.future.exception() is None:
-                    # Admitted and cancelled at the same moment.
-                    self._free()
+                    # Admitted and cancelled in the same iteration of the loop.
+                    self._release_slot()
             else:
-                self._drop(waiter)
+                self._remove(waiter)
             raise
         finally:
             waiter.timer.cancel()
 
     def find_busy_ms(self, ticket: Ticket) -> int | None:
-        """Return the wait of a call for which there is no free place.
+        """Return the estimated wait of a call if no slot is free for it.
 
-        None where there is one, or the gate is closed.
+        Returns None when a slot is free or the gate is closed.
         """
         if not self.is_open:
             return None
         is_late = self._is_late(ticket)
-        if self._is_next(ticket, is_late):
+        if self._can_start(ticket, is_late):
             return None
         wait_ms = self._estimate_wait_ms(ticket, is_late)
-        return int(min(wait_ms, LONGEST_WAIT_MS))
+        return int(min(wait_ms, MAX_RETRY_AFTER_MS))
 
     def _is_late(self, ticket: Ticket) -> bool:
-        """Whether a call cannot end in its goal any more."""
+        """Whether the latency goal of a call has passed."""
         return ticket.goal_s <= self.now_s() and not ticket.is_nested
 
     def leave(
         self, ticket: Ticket, result: CallResult, elapsed_ms: float
     ) -> None:
-        """Give the place back.
+        """Release the slot of a call.
 
         Parameters
         ----------
         ticket : Ticket
-            With which it was taken.
+            Ticket with which the slot was taken.
         result : CallResult
-            How the call ended.
+            Result of the call.
         elapsed_ms : float
-            Time at the target.
+            Time that the call took at the target.
         """
         if result is not CallResult.CANCELLED:
-            self._learn(ticket.route, result, elapsed_ms)
-        self._free()
+            self._record_result(ticket.route, result, elapsed_ms)
+        self._release_slot()
 
-    def _learn(
+    def _record_result(
         self, route: base.RouteName, result: CallResult, elapsed_ms: float
     ) -> None:
         is_failure = float(result is not CallResult.DONE)
@@ -314,12 +315,12 @@
             is_failure - self._failure_share
         )
         if result is not CallResult.DONE:
-            # A target that fails at once must not seem quick.
+            # Excluded so that a target that fails at once does not seem fast.
             return
         self.work.note(route, elapsed_ms)
 
-    def _judge_workspace(self, ticket: Ticket) -> None:
-        """Count a call for its workspace, and tell how that has fared."""
+    def _classify_workspace(self, ticket: Ticket) -> None:
+        """Count a call for its workspace and set the standing of the call."""
         if ticket.workspace == base.NO_WORKSPACE:
             return
         work_ms = self.work.find_mean_ms(ticket.route)
@@ -327,39 +328,42 @@
         self._shares.note_asked(ticket.workspace, work_ms, now_s)
         ticket.standing = self._shares.judge(ticket.workspace, work_ms, now_s)
 
-    def _take_place(self, ticket: Ticket) -> None:
+    def _occupy_slot(self, ticket: Ticket) -> None:
         self.running += 1
         if ticket.workspace != base.NO_WORKSPACE:
             work_ms = self.work.find_mean_ms(ticket.route)
             self._shares.note_served(ticket.workspace, work_ms, self.now_s())
 
-    def _free(self) -> None:
+    def _release_slot(self) -> None:
         self.running -= 1
         self._admit_waiting()
 
     def _admit_waiting(self) -> None:
-        while self._queue and self._has_place(self._queue[0][-1].is_late):
+        while self._queue and self._has_free_slot(self._queue[0][-1].is_late):
             waiter = heapq.heappop(self._queue)[-1]
             if not waiter.future.done():
-                self._take_place(waiter.ticket)
+                self._occupy_slot(waiter.ticket)
                 waiter.future.set_result(None)
 
-    def _is_next(self, ticket: Ticket, is_late: bool) -> bool:
-        """Whether a call that has just arrived need not wait."""
-        if not self._has_place(is_late):
+    def _can_start(self, ticket: Ticket, is_late: bool) -> bool:
+        """Whether a call that has just arrived can start without waiting."""
+        if not self._has_free_slot(is_late):
             return False
-        return not self._queue or ticket.make_rank(is_late) < self._queue[0][0]
+        return (
+            not self._queue
+            or ticket.make_sort_key(is_late) < self._queue[0][0]
+        )
 
-    def _has_place(self, is_late: bool) -> bool:
-        reserve = round(RESERVE_SHARE * self.limit) if is_late else 0
+    def _has_free_slot(self, is_late: bool) -> bool:
+        reserve = round(RESERVED_SHARE * self.limit) if is_late else 0
         return self.running < self.limit - reserve
 
-    # What can be served in time.
+    # Estimates of whether a call can end in time.
 
-    def _can_serve(
+    def _can_end_in_time(
         self, ticket: Ticket, is_late: bool, wait_ms: float
     ) -> bool:
-        """Whether a call that has to wait is expected to be served."""
+        """Whether a call that has to wait is expected to end in time."""
         if ticket.is_nested or is_late:
             work_ms = self.work.find_mean_ms(ticket.route)
             until_s = ticket.deadline_s
@@ -369,22 +373,22 @@
         return self.now_s() + (wait_ms + work_ms) / 1000 <= until_s
 
     def _estimate_wait_ms(self, ticket: Ticket, is_late: bool) -> float:
-        """Estimate the wait behind all that goes before a call.
+        """Estimate how long a call waits behind those served before it.
 
-        Calls that arrive meanwhile go before a late one.  With a share of
-        the places free for it, its wait is longer by that much (the lower
-        class of a priority queue, Cobham 1954).
+        Calls in time that arrive meanwhile are served before a late one, so
+        its wait is divided by the share of the slots that they leave free
+        (lower class of a priority queue, Cobham 1954).
         """
-        rank = ticket.make_rank(is_late)
+        key = ticket.make_sort_key(is_late)
         ahead_ms = self.work.mean_ms + sum(
             self.work.find_mean_ms(entry[-1].ticket.route)
             for entry in self._queue
-            if entry[0] <= rank and entry[-1].ticket is not ticket
+            if entry[0] <= key and entry[-1].ticket is not ticket
         )
         wait_ms = ahead_ms / self.limit
         if not is_late:
             return wait_ms
-        left_share = 1 - RESERVE_SHARE - self._demand.find_share(self.limit)
+        left_share = 1 - RESERVED_SHARE - self._demand.find_share(self.limit)
         return wait_ms / left_share if left_share > 0 else math.inf
 
     # The queue.
@@ -395,18 +399,19 @@
         loop = asyncio.get_running_loop()
         waiter = _Waiter(ticket, is_late, loop.create_future())
         self._push(waiter)
-        self._plan_review(waiter, wait_ms)
+        self._schedule_review(waiter, wait_ms)
         return waiter
 
     def _push(self, waiter: _Waiter) -> None:
         self._sequence += 1
-        rank = waiter.ticket.make_rank(waiter.is_late)
-        heapq.heappush(self._queue, (rank, self._sequence, waiter))
+        key = waiter.ticket.make_sort_key(waiter.is_late)
+        heapq.heappush(self._queue, (key, self._sequence, waiter))
 
-    def _plan_review(self, waiter: _Waiter, wait_ms: float) -> None:
-        """Look at a waiter again when its turn should have come.
+    def _schedule_review(self, waiter: _Waiter, wait_ms: float) -> None:
+        """Schedule a review for when the call should have been admitted.
 
-        A target's call is kept until it could no longer end in time.
+        A call issued by a target stays queued until it can no longer end in
+        time.
         """
         ticket = waiter.ticket
         waiter.wait_ms = wait_ms
@@ -415,48 +420,51 @@
             margin = self.mesh_settings.shed_margin_percent / 100
             review_s = ticket.deadline_s - margin * work_s
         else:
-            review_s = self.now_s() + max(wait_ms, LEAST_REVIEW_MS) / 1000
+            review_s = self.now_s() + max(wait_ms, MIN_REVIEW_MS) / 1000
         loop = asyncio.get_running_loop()
         waiter.timer = loop.call_at(review_s, self._review, waiter)
 
     def _review(self, waiter: _Waiter) -> None:
-        """Keep a waiter, keep it as a late one, or refuse it.
+        """Keep a queued call, demote it to late, or refuse it.
 
-        Calls that go before it have arrived meanwhile.
+        Calls that are served before it may have arrived since the last
+        estimate.
         """
         ticket = waiter.ticket
         if waiter.future.done():
             return
         if ticket.is_nested:
-            self._expire(waiter)
+            self._shed(waiter)
             return
         wait_ms = self._estimate_wait_ms(ticket, waiter.is_late)
-        # A late one is kept only while its turn comes nearer: others may
-        # take all places for as long as it could wait.
+        # A late call is kept only while its estimated wait shrinks: otherwise
+        # calls in time may take all slots until its deadline.
         is_nearer = not waiter.is_late or wait_ms < waiter.wait_ms
-        if is_nearer and self._can_serve(ticket, waiter.is_late, wait_ms):
-            self._plan_review(waiter, wait_ms)
+        if is_nearer and self._can_end_in_time(
+            ticket, waiter.is_late, wait_ms
+        ):
+            self._schedule_review(waiter, wait_ms)
         elif waiter.is_late:
-            self._expire(waiter)
+            self._shed(waiter)
         else:
             self._demote(waiter)
 
     def _demote(self, waiter: _Waiter) -> None:
-        """Keep a waiter that will miss its goal if places are left over."""
+        """Requeue a call that will miss its goal as late, or refuse it."""
         wait_ms = self._estimate_wait_ms(waiter.ticket, True)
-        if not self._can_serve(waiter.ticket, True, wait_ms):
-            self._expire(waiter)
+        if not self._can_end_in_time(waiter.ticket, True, wait_ms):
+            self._shed(waiter)
             return
-        self._drop(waiter)
+        self._remove(waiter)
         waiter.is_late = True
         self._push(waiter)
-        self._plan_review(waiter, wait_ms)
+        self._schedule_review(waiter, wait_ms)
 
-    def _expire(self, waiter: _Waiter) -> None:
-        self._drop(waiter)
+    def _shed(self, waiter: _Waiter) -> None:
+        self._remove(waiter)
         self._refuse(waiter, _messages.RefusalReason.SHED)
 
-    def _drop(self, waiter: _Waiter) -> None:
+    def _remove(self, waiter: _Waiter) -> None:
         self._queue = [
             entry for entry in self._queue if entry[-1] is not waiter
         ]
--- a/sedgering/mesh/_gate_log.py
+++ b/sedgering/mesh/_gate_log.py
@@ -1,4 +1,4 @@
-"""One log line a second on what a gate did, and on answers that wait."""
+"""Logs once a second what the gate did, and which answers are delayed."""
 
 import asyncio
 import logging
@@ -13,14 +13,14 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Between two lines: short enough to see a burst of some seconds.
+#: Time between two lines, short enough to show a burst of a few seconds.
 INTERVAL_S = 1.0
-#: Most routes named in one line, those with most calls first.
-MOST_ROUTES = 8
+#: Maximum number of routes in one line; the busiest are named.
+MAX_ROUTES = 8
 
 
-class _Tally(msgspec.Struct):
-    """What the gate did with the calls of one route since the last line."""
+class _RouteCounts(msgspec.Struct):
+    """Counters of one route since the last line."""
 
     admitted: int = 0
     refused: int = 0
@@ -28,40 +28,40 @@
 
 
 class GateLog:
-    """Counts what a gate does, and writes it down each second.
+    """Counts admitted and refused calls and logs them each second.
 
-    Together with the lines on single requests it tells why callers were
-    refused at a moment: how full the places were, how long calls waited,
-    and how long the work of each route took.  Answers that wait for the link
-    tell why calls seem slow whose work is done.
+    Together with the log lines of single requests, its lines show why callers
+    were refused at a moment: how many slots were in use, how long calls were
+    queued, and how long the work of each route took.  Answers that wait for
+    the link explain calls that seem slow although their work is done.
     """
 
     def __init__(self):
-        self._tallies: dict[base.RouteName, _Tally] = {}
+        self._counts: dict[base.RouteName, _RouteCounts] = {}
 
-    def note_admitted(self, route: base.RouteName, wait_ms: float) -> None:
-        """Count a call that got a place."""
-        tally = self._find(route)
-        tally.admitted += 1
-        tally.wait_ms += wait_ms
+    def count_admitted(self, route: base.RouteName, wait_ms: float) -> None:
+        """Count a call that was admitted after `wait_ms` in the queue."""
+        counts = self._find_counts(route)
+        counts.admitted += 1
+        counts.wait_ms += wait_ms
 
-    def note_refused(self, route: base.RouteName) -> None:
+    def count_refused(self, route: base.RouteName) -> None:
         """Count a call that was refused."""
-        self._find(route).refused += 1
+        self._find_counts(route).refused += 1
 
-    def _find(self, route: base.RouteName) -> _Tally:
-        tally = self._tallies.get(route)
-        if tally is None:
-            tally = self._tallies[route] = _Tally()
-        return tally
+    def _find_counts(self, route: base.RouteName) -> _RouteCounts:
+        counts = self._counts.get(route)
+        if counts is None:
+            counts = self._counts[route] = _RouteCounts()
+        return counts
 
     async def run(
         self, gate: _gate.Gate, backlog: _backlog.AnswerBacklog
     ) -> None:
-        """Write a line each second in which calls came or answers wait."""
+        """Log a line each second in which calls arrive or answers wait."""
         while True:
             await asyncio.sleep(INTERVAL_S)
-            text = self.take_text(gate)
+            text = self.take_summary(gate)
             answers = backlog.describe()
             if text or answers:
                 LOG.info(
@@ -74,25 +74,27 @@
                     },
                 )
 
-    def take_text(self, gate: _gate.Gate) -> str:
-        """Return what happened since the last call, and count anew."""
-        tallies, self._tallies = self._tallies, {}
+    def take_summary(self, gate: _gate.Gate) -> str:
+        """Return a summary of the counters and reset them."""
+        counts_by_route, self._counts = self._counts, {}
         busiest = sorted(
-            tallies.items(),
+            counts_by_route.items(),
             key=lambda item: item[1].admitted + item[1].refused,
             reverse=True,
         )
         return ', '.join(
-            _describe(route, tally, gate)
-            for route, tally in busiest[:MOST_ROUTES]
+            _describe(route, counts, gate)
+            for route, counts in busiest[:MAX_ROUTES]
         )
 
 
-def _describe(route: base.RouteName, tally: _Tally, gate: _gate.Gate) -> str:
-    """Say what happened to the calls of one route."""
-    wait_ms = tally.wait_ms / max(1, tally.admitted)
+def _describe(
+    route: base.RouteName, counts: _RouteCounts, gate: _gate.Gate
+) -> str:
+    """Describe what happened to the calls of one route."""
+    wait_ms = counts.wait_ms / max(1, counts.admitted)
     work_ms = gate.work.find_mean_ms(route)
     return (
-        f'{route}: {tally.admitted} admitted after {wait_ms:.0f} ms,'
-        f' {tally.refused} refused, work {work_ms:.0f} ms'
+        f'{route}: {counts.admitted} admitted after {wait_ms:.0f} ms,'
+        f' {counts.refused} refused, work {work_ms:.0f} ms'
     )
--- a/sedgering/mesh/_link.py
+++ b/sedgering/mesh/_link.py
@@ -1,4 +1,4 @@
-"""How much of the link of this host is used."""
+"""Measures the utilization of the link of this host."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,21 @@
 
 __all__ = ['LinkMeter']
 
-#: Time over which bytes are counted: long enough for some uploads of 60 kB,
-#: short enough to follow a burst.
+#: Time over which bytes are counted: long enough for several uploads of
+#: 60 kB, short enough to follow a burst.
 WINDOW_S = 0.5
 BITS = 8
 
 
 class LinkMeter:
-    """Tells the share of the link that incoming bytes take.
+    """Measures the share of the link that incoming bytes take.
 
     Parameters
     ----------
     link_mbps : float
-        Width of the link; 0 when it is not known.
+        Bandwidth of the link; 0 when unknown.
     now_s : callable
-        Monotonic time.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -36,11 +36,11 @@
         self._percent = 0
 
     def watch(self, *services: transport.Service) -> None:
-        """Count the bytes that these services receive."""
+        """Include the bytes that these services receive."""
         self._services.extend(services)
 
     def find_percent(self) -> int:
-        """Return the share of the last window, in percent."""
+        """Return the utilization in the last window, in percent."""
         elapsed_s = self.now_s() - self._start_s
         if not self.link_mbps or elapsed_s < WINDOW_S:
             return self._percent
--- a/sedgering/mesh/_lost_calls.py
+++ b/sedgering/mesh/_lost_calls.py
@@ -1,4 +1,4 @@
-"""Calls that ended without an answer just before their target did."""
+"""Calls that ended without an answer shortly before their target crashed."""
 
 import collections
 
@@ -9,26 +9,26 @@
 
 __all__ = ['LostCalls']
 
-#: For how long before the end of a target a call may have caused it, though
-#: its connection is gone: callers give up, and an end is seen a moment later.
-KEEP_S = 2.0
-#: Calls kept: what targets with many places have under way at their end.
+#: Time before a crash within which a lost call may have caused it: callers
+#: give up, and a crash is detected a moment after it happened.
+RETENTION_S = 2.0
+#: Maximum number of calls: those of a target with many slots at its crash.
 CALLS_LIMIT = 256
 
 
-class _Lost(msgspec.Struct, frozen=True):
-    """One call without an answer.
+class _LostCall(msgspec.Struct, frozen=True):
+    """One call that ended without an answer.
 
     Parameters
     ----------
     fingerprint : Fingerprint
-        Of its request.
+        Fingerprint of its request.
     lifetime : Lifetime
-        To which it was sent.
+        Lifetime to which it was sent.
     is_trial : bool
         Whether it ran as a suspect.
     at_s : float
-        When it ended, as time of the event loop.
+        Time at which it ended, in seconds of event loop time.
     """
 
     fingerprint: base.Fingerprint
@@ -38,37 +38,37 @@
 
 
 class LostCalls:
-    """The last calls to the local target that ended without an answer."""
+    """Recent calls to the local target that ended without an answer."""
 
     def __init__(self):
-        self._calls: collections.deque[_Lost] = collections.deque(
+        self._calls: collections.deque[_LostCall] = collections.deque(
             maxlen=CALLS_LIMIT
         )
 
-    def note(
+    def add(
         self,
         fingerprint: base.Fingerprint,
         lifetime: _messages.Lifetime,
         is_trial: bool,
         now_s: float,
     ) -> None:
-        """Take in one call."""
-        self._calls.append(_Lost(fingerprint, lifetime, is_trial, now_s))
+        """Add one call."""
+        self._calls.append(_LostCall(fingerprint, lifetime, is_trial, now_s))
 
     def take(
         self, lifetime: _messages.Lifetime, now_s: float
     ) -> dict[base.Fingerprint, bool]:
-        """Return the calls that a lifetime lost, the last ones first.
+        """Remove all calls; return those that a lifetime lost, latest first.
 
         Returns
         -------
         dict of Fingerprint to bool
-            Whether each ran as a suspect.
+            Requests of the calls, and whether each ran as a suspect.
         """
         calls, found = list(self._calls), {}
         self._calls.clear()
         for call in reversed(calls):
-            if call.lifetime == lifetime and now_s - call.at_s <= KEEP_S:
+            if call.lifetime == lifetime and now_s - call.at_s <= RETENTION_S:
                 was_trial = found.get(call.fingerprint, False)
                 found[call.fingerprint] = was_trial or call.is_trial
         return found
--- a/sedgering/mesh/_notice.py
+++ b/sedgering/mesh/_notice.py
@@ -1,7 +1,7 @@
-"""Tells other daemons at once that a target has ended, and under what.
+"""Notifies other daemons of a crash at once, naming the suspect requests.
 
-Rows tell it, too, some 0.7 s later: within this time a request that comes 20
-times a second would end the rest of its set.
+Member rows also report it, some 0.7 s later.  Within this time a request that
+is sent 20 times a second would crash the rest of its set.
 """
 
 import msgspec
@@ -12,7 +12,7 @@
 __all__ = ['decode_notice', 'encode_notice', 'is_notice']
 
 PATH = '/crash'
-MARK = 'sedgering-crash'
+HEADER = 'sedgering-crash'
 
 _ENCODER = msgspec.json.Encoder()
 _DECODER = msgspec.json.Decoder(_crash_records.CrashRecord)
@@ -20,23 +20,23 @@
 
 def encode_notice(record: _crash_records.CrashRecord) -> bytes:
     """Encode a record as a request to another daemon."""
-    headers = [('Host', 'peer'), (MARK, '1')]
+    headers = [('Host', 'peer'), (HEADER, '1')]
     return transport.encode_request(
         transport.Request('POST', PATH, headers, _ENCODER.encode(record), True)
     )
 
 
 def is_notice(request: transport.Request) -> bool:
-    """Say whether another daemon tells of an end."""
-    return request.find(MARK) is not None
+    """Return whether a request is a crash notice of another daemon."""
+    return request.find(HEADER) is not None
 
 
 def decode_notice(request: transport.Request) -> _crash_records.CrashRecord:
-    """Decode a record.
+    """Decode the record of a crash notice.
 
     Raises
     ------
     msgspec.DecodeError
-        When it is none.
+        When the body is not a valid record.
     """
     return _DECODER.decode(request.body)
--- a/sedgering/mesh/_room.py
+++ b/sedgering/mesh/_room.py
@@ -1,8 +1,8 @@
-"""Room on the link of a target's host for large request bodies.
+"""Reservations for large request bodies on the link of a target's host.
 
-A body that is sent and then refused has used the link all the same, and
-whatever waits behind it.  So a daemon that is about to send a large body
-over a narrow link asks for room first.
+A body that is sent and then refused has used the link all the same, and has
+delayed the traffic behind it.  So a daemon reserves capacity before it sends
+a large body over a narrow link.
 """
 
 from collections.abc import Callable
@@ -12,81 +12,87 @@
 
 __all__ = ['LinkRoom', 'encode_room_request', 'find_room_bytes', 'needs_room']
 
-#: Bodies that may be on their way at a time, as time on the link: a call
-#: that comes behind them still has most of its goal left.
-ROOM_MS = 150
-#: Bodies that take less time on the link are sent without asking: asking
-#: takes a round trip of some 3 ms.
-ASK_FROM_MS = 10
-#: Room that is not used is free again after this time.
-HOLD_S = 1.0
+#: Limit of the bodies in transit, as time on the link: a call that arrives
+#: behind them still has most of the time until its goal.
+MAX_IN_TRANSIT_MS = 150
+#: Bodies that take less time on the link are sent without a reservation,
+#: which takes a round trip of some 3 ms.
+MIN_TRANSFER_MS = 10
+#: Time after which an unused reservation expires.
+RESERVATION_TIMEOUT_S = 1.0
 BITS = 8
 
-MARK = 'sedgering-room'
+HEADER = 'sedgering-room'
 
 
 def needs_room(row: _messages.MemberRow, body_bytes: int) -> bool:
-    """Say whether a body takes the link of a host for long."""
+    """Return whether a body needs a reservation on the link of a host."""
     if not row.link_mbps:
         return False
-    return body_bytes * BITS / (row.link_mbps * 1000) >= ASK_FROM_MS
+    return body_bytes * BITS / (row.link_mbps * 1000) >= MIN_TRANSFER_MS
 
 
 def encode_room_request(body_bytes: int) -> bytes:
-    """Encode the question whether there is room."""
-    headers = [('Host', 'peer'), (MARK, str(body_bytes))]
+    """Encode a request for a reservation."""
+    headers = [('Host', 'peer'), (HEADER, str(body_bytes))]
     return transport.encode_request(transport.Request('GET', '/', headers))
 
 
 def find_room_bytes(request: transport.Request) -> int | None:
-    """Return the bytes for which a daemon asks; None when it does not."""
-    value = request.find(MARK)
+    """Return the requested size in bytes; None for any other request."""
+    value = request.find(HEADER)
     return int(value) if value is not None and value.isdigit() else None
 
 
 class LinkRoom:
-    """Bodies that may be on their way to this host.
+    """Reservations for bodies that peers are about to send to this host.
 
     Parameters
     ----------
     link_mbps : float
-        Width of the link; 0 when it is not known: there is always room.
+        Bandwidth of the link; 0 when unknown, which disables the limit.
     now_s : callable
-        Monotonic time.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(self, link_mbps: float, now_s: Callable[[], float]):
-        self.limit_bytes = int(link_mbps * 1000 * ROOM_MS / BITS)
+        self.limit_bytes = int(link_mbps * 1000 * MAX_IN_TRANSIT_MS / BITS)
         self.now_s = now_s
-        #: Bytes promised, and until when, the oldest first.
-        self._promises: list[tuple[float, int]] = []
+        #: Expiry time and bytes of each reservation, oldest first.
+        self._reservations: list[tuple[float, int]] = []
 
     @property
     def used_bytes(self) -> int:
-        """Bytes that are promised, and have not arrived."""
+        """Bytes that are reserved and have not arrived."""
         now_s = self.now_s()
-        self._promises = [item for item in self._promises if item[0] > now_s]
-        return sum(size for _until_s, size in self._promises)
+        self._reservations = [
+            item for item in self._reservations if item[0] > now_s
+        ]
+        return sum(size for _until_s, size in self._reservations)
 
     @property
     def used_percent(self) -> int:
-        """Share of the room that is promised."""
+        """Reserved share of the limit, in percent."""
         if not self.limit_bytes:
             return 0
         return min(100, 100 * self.used_bytes // self.limit_bytes)
 
-    def ask(self, body_bytes: int) -> bool:
-        """Promise room, if there is any; a single body always has."""
+    def reserve(self, body_bytes: int) -> bool:
+        """Reserve capacity if available; a single body always fits."""
         used_bytes = self.used_bytes
-        is_full = used_bytes and used_bytes + body_bytes > self.limit_bytes
-        if self.limit_bytes and is_full:
+        exceeds_limit = (
+            used_bytes and used_bytes + body_bytes > self.limit_bytes
+        )
+        if self.limit_bytes and exceeds_limit:
             return False
-        self._promises.append((self.now_s() + HOLD_S, body_bytes))
+        self._reservations.append(
+            (self.now_s() + RESERVATION_TIMEOUT_S, body_bytes)
+        )
         return True
 
     def note_arrival(self, body_bytes: int) -> None:
-        """Free the room of a body that has arrived."""
-        for number, (_until_s, size) in enumerate(self._promises):
+        """Release the reservation of a body that has arrived."""
+        for number, (_until_s, size) in enumerate(self._reservations):
             if size == body_bytes:
-                del self._promises[number]
+                del self._reservations[number]
                 return
--- a/sedgering/mesh/_standing.py
+++ b/sedgering/mesh/_standing.py
@@ -1,4 +1,4 @@
-"""What is known of one request under which targets may have ended."""
+"""Crash status of one request, during which targets may have crashed."""
 
 from sedgering import base
 from sedgering.mesh import _crashes
@@ -9,14 +9,14 @@
 
 
 class KnownRequest:
-    """What is known of one request, at the daemon of its caller.
+    """Crash status of one request, at the daemon of its caller.
 
     Parameters
     ----------
     request : Request
-        As the caller sent it.
+        Request as the caller sent it.
     crashes : CrashTable
-        What this daemon knows of all requests.
+        Table of all requests that this daemon knows.
     """
 
     __slots__ = ('_crashes', '_request', 'fingerprint')
@@ -26,47 +26,47 @@
     ):
         self._request = request
         self._crashes = crashes
-        #: None while nothing is known of the request.
+        #: None while no crash is known for the request.
         self.fingerprint = crashes.find(request)
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it may run at one place only."""
-        return self._judge() is _crashes.Standing.SUSPECT
+        """Whether the request may run at one host only."""
+        return self._find_standing() is _crashes.Standing.SUSPECT
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it may not be begun."""
-        return self._judge() is _crashes.Standing.QUARANTINED
+        """Whether the request must not be started."""
+        return self._find_standing() is _crashes.Standing.QUARANTINED
 
-    def _judge(self) -> _crashes.Standing:
+    def _find_standing(self) -> _crashes.Standing:
         if self.fingerprint is None:
             return _crashes.Standing.SOUND
-        return self._crashes.judge(self.fingerprint)
+        return self._crashes.find_standing(self.fingerprint)
 
     def find_wait_s(self) -> float:
-        """Return the time until it may be tried, where it may not begin."""
+        """Return the time until a quarantined request may be tried."""
         return self._crashes.find_wait_s(self.fingerprint)
 
     def make_fingerprint(self) -> base.Fingerprint:
-        """Return the fingerprint, whether or not anything is known."""
+        """Return the fingerprint, even if no crash is known."""
         if self.fingerprint is None:
             return self._crashes.make_fingerprint(self._request)
         return self.fingerprint
 
     def tell(self, call: _messages.TargetCall) -> None:
-        """Tell the gate of a target what is known here."""
+        """Add the evidence that is known here to a call."""
         if self.fingerprint is None:
             return
         call.is_trial = self.is_suspect
         call.crashes = self._crashes.list_crashes(self.fingerprint)
-        call.forgiven = self._crashes.list_forgiven(self.fingerprint)
+        call.forgiven = self._crashes.list_cleared(self.fingerprint)
 
     def note(self, answer: _messages.CallAnswer) -> None:
-        """Take in ends that an answer tells, or that a target answered."""
+        """Update the table with an answer and the crashes it reports."""
         if answer.crashes:
             self.fingerprint = self.make_fingerprint()
             self._crashes.blame(self.fingerprint, answer.crashes)
         is_answered = answer.outcome is _messages.CallOutcome.ANSWERED
         if is_answered and self.fingerprint is not None:
-            self._crashes.forgive(self.fingerprint)
+            self._crashes.clear(self.fingerprint)
--- a/sedgering/mesh/_target.py
+++ b/sedgering/mesh/_target.py
@@ -1,4 +1,4 @@
-"""The target beside this daemon, as it reports itself."""
+"""State of the local target, as it reports itself."""
 
 import logging
 
@@ -11,37 +11,37 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Sequence of the first report of a lifetime.  A later one may come from a
-#: lifetime that has crashed: reports can be delayed by seconds.
+#: Sequence of the first report of a lifetime.  A report with a higher one may
+#: come from a lifetime that has crashed: reports can be delayed by seconds.
 FIRST_SEQUENCE = 1
-#: Targets of which an ended lifetime is remembered, so that a late report
-#: revives none.
-REMEMBERED = 16
+#: Number of targets whose last ended lifetime is remembered, so that a
+#: delayed report does not reopen it.
+MAX_ENDED_TARGETS = 16
 
 
 class LocalTarget:
-    """State of the local target: what was reported last, and what ended.
+    """The last report of the local target, and the lifetimes that ended.
 
-    A target that has said that it is leaving stays closed: only another
-    lifetime opens the gate again, which may have the same id.
+    A target that has deregistered stays closed: only another lifetime, which
+    may have the same id, opens the gate again.
     """
 
     def __init__(self):
         self.report: _messages.TargetReport | None = None
-        #: Report of another lifetime while one is open.
+        #: Report of another lifetime that arrived while one is open.
         self.rival: _messages.TargetReport | None = None
         self.cold_until_s = 0.0
-        #: When the present lifetime reported last, and when the one before
-        #: it did: it was alive then.
-        self.heard_s = 0.0
-        self.earlier_heard_s = 0.0
-        #: When the last lifetime of each that has ended was born; those
-        #: that ended last are at the end.
+        #: Times of the last reports of the current lifetime and of the one
+        #: before it, which prove that it was alive.
+        self.reported_s = 0.0
+        self.previous_reported_s = 0.0
+        #: Start time of the last ended lifetime of each target, ordered by
+        #: when it ended.
         self._ended: dict[base.TargetName, int] = {}
 
     @property
     def is_open(self) -> bool:
-        """Whether the target takes new work."""
+        """Whether the target accepts new calls."""
         return (
             self.report is not None
             and self.report.state is _messages.TargetState.READY
@@ -49,7 +49,7 @@
 
     @property
     def is_down(self) -> bool:
-        """Whether the target has ended without a word."""
+        """Whether the target has crashed."""
         return (
             self.report is not None
             and self.report.state is _messages.TargetState.DOWN
@@ -57,76 +57,76 @@
 
     @property
     def target(self) -> base.TargetName | None:
-        """Id of the present target, if one is known."""
+        """Id of the current target, if one is known."""
         return self.report.target if self.report else None
 
     @property
     def lifetime(self) -> _messages.Lifetime | None:
-        """The present lifetime, if one is known."""
+        """The current lifetime, if one is known."""
         return self.report.lifetime if self.report else None
 
     def take_report(
         self, report: _messages.TargetReport, now_s: float
     ) -> bool:
-        """Take in a report.
+        """Process a report.
 
         Returns
         -------
         bool
-            Whether anything changed that other daemons must know.
+            Whether anything changed that peers must be told.
         """
         if self._has_ended(report.lifetime):
             return False
         old = self.report
         if old is not None and old.target == report.target:
-            if not _is_next(old, report):
+            if not _replaces(old, report):
                 return False
-        elif self.is_open and _is_doubtful(old, report):
+        elif self.is_open and _may_be_delayed(old, report):
             self.rival = report
             return False
         elif old is not None:
-            self._end(old.lifetime)
+            self._record_end(old.lifetime)
         return self._accept(report, now_s)
 
     def settle_rival(
-        self, present: base.TargetName | None, now_s: float
+        self, current: base.TargetName | None, now_s: float
     ) -> bool:
-        """Decide between two lifetimes that report themselves.
+        """Decide between two lifetimes that both report themselves.
 
         Parameters
         ----------
-        present : str or None
-            Which one answers at the address; None when neither does.
+        current : str or None
+            Target that answers at the address; None when neither does.
         now_s : float
-            Time of the event loop.
+            Event loop time in seconds.
 
         Returns
         -------
         bool
-            Whether anything changed that other daemons must know.
+            Whether anything changed that peers must be told.
         """
         rival, self.rival = self.rival, None
-        if rival is None or self.report is None or present is None:
+        if rival is None or self.report is None or current is None:
             return False
         if self._has_ended(rival.lifetime):
-            # It has left since it reported.
+            # It has deregistered since it reported.
             return False
         if rival.target == self.report.target:
-            # It has reported again, and was taken.
+            # A later report of it was accepted meanwhile.
             return False
-        if present == rival.target:
-            self._end(self.report.lifetime)
+        if current == rival.target:
+            self._record_end(self.report.lifetime)
             return self._accept(rival, now_s)
-        if present == self.report.target:
-            _log('late report', rival)
-            self._end(rival.lifetime)
+        if current == self.report.target:
+            _log('delayed report ignored', rival)
+            self._record_end(rival.lifetime)
         return False
 
     def _accept(self, report: _messages.TargetReport, now_s: float) -> bool:
         old = self.report
         if old is not None and old.lifetime.is_before(report.lifetime):
-            self.earlier_heard_s = self.heard_s
-        self.heard_s = now_s
+            self.previous_reported_s = self.reported_s
+        self.reported_s = now_s
         self.report = report
         self.cold_until_s = now_s + report.cold_ms / 1000
         is_changed = (
@@ -142,45 +142,46 @@
         return is_changed
 
     def leave(self, lifetime: _messages.Lifetime) -> bool:
-        """Note that a lifetime has said that it is leaving for good.
+        """Record that a lifetime has deregistered.
 
         Parameters
         ----------
         lifetime : Lifetime
-            Of a target that does not tell its start: the present one.
+            Lifetime that leaves; the current one if the target does not report
+            its start time.
 
         Returns
         -------
         bool
-            Whether the present lifetime was meant, and was open.
+            Whether it was the current lifetime and was open.
         """
-        present = self.report
+        current = self.report
         if (
-            present is None
-            or present.target != lifetime.target
-            or lifetime.is_before(present.lifetime)
+            current is None
+            or current.target != lifetime.target
+            or lifetime.is_before(current.lifetime)
         ):
-            self._end(lifetime)
+            self._record_end(lifetime)
             return False
         was_open = self.is_open
         self.report = msgspec.structs.replace(
-            present,
+            current,
             state=_messages.TargetState.GONE,
             cold_ms=0,
-            born_ms=max(present.born_ms, lifetime.born_ms),
+            born_ms=max(current.born_ms, lifetime.born_ms),
         )
-        _log('target left', self.report)
+        _log('target deregistered', self.report)
         return was_open
 
     def note_down(self, lifetime: _messages.Lifetime) -> bool:
-        """Note that a lifetime has ended without a word.
+        """Record that a lifetime has crashed.
 
-        Its next report opens it again: that nobody listened was an error.
+        Its next report opens it again, since the detection was then wrong.
 
         Returns
         -------
         bool
-            Whether the present lifetime was meant, and was open.
+            Whether it was the current lifetime and was open.
         """
         if self.lifetime != lifetime or not self.is_open:
             return False
@@ -191,17 +192,17 @@
         return True
 
     def forget(self) -> None:
-        """Close until the next report: another target answered there."""
+        """Discard the target, because another one answered at its address."""
         if self.report is not None:
-            _log('target forgotten', self.report)
-            self._end(self.report.lifetime)
+            _log('target discarded', self.report)
+            self._record_end(self.report.lifetime)
         self.report = None
 
-    def _end(self, lifetime: _messages.Lifetime) -> None:
-        """Remember that a lifetime, and all before it, have ended."""
+    def _record_end(self, lifetime: _messages.Lifetime) -> None:
+        """Record that a lifetime and all earlier ones have ended."""
         born_ms = self._ended.pop(lifetime.target, lifetime.born_ms)
         self._ended[lifetime.target] = max(born_ms, lifetime.born_ms)
-        if len(self._ended) > REMEMBERED:
+        if len(self._ended) > MAX_ENDED_TARGETS:
             del self._ended[next(iter(self._ended))]
 
     def _has_ended(self, lifetime: _messages.Lifetime) -> bool:
@@ -209,30 +210,31 @@
         return born_ms is not None and lifetime.born_ms <= born_ms
 
 
-def _is_doubtful(
+def _may_be_delayed(
     old: _messages.TargetReport, report: _messages.TargetReport
 ) -> bool:
-    """Whether a report of another id may not be of the target beside us.
+    """Whether a report with another id may not be from the local target.
 
-    It is late, or of another writer: the last one told its start.
+    It is not the first of its lifetime and may be delayed, or it lacks the
+    start time that the last report had, so that its sender may be another one.
     """
     unknown = _messages.UNKNOWN_BORN_MS
     lacks_start = report.born_ms == unknown and old.born_ms != unknown
     return lacks_start or report.sequence > FIRST_SEQUENCE
 
 
-def _is_next(
+def _replaces(
     old: _messages.TargetReport, report: _messages.TargetReport
 ) -> bool:
-    """Whether a report with the same id as the last one takes its place."""
+    """Whether a report with the same id as the last one replaces it."""
     if old.lifetime.is_before(report.lifetime):
         return True
     if report.lifetime.is_before(old.lifetime):
-        _log('report of an earlier lifetime', report)
+        _log('report of an earlier lifetime ignored', report)
         return False
     is_down = old.state is _messages.TargetState.DOWN
     if is_down and report.born_ms == _messages.UNKNOWN_BORN_MS:
-        # Most likely it has started again, and counts anew.
+        # Most likely it has restarted, and its sequence with it.
         return True
     may_change = is_down or old.state is _messages.TargetState.READY
     return may_change and report.sequence > old.sequence
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_side.py
@@ -1,4 +1,4 @@
-"""Runs calls at the local target: its gate, its connections, its end."""
+"""Runs calls at the local target and detects when it crashes."""
 
 import asyncio
 import logging
@@ -25,14 +25,14 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Time kept back from a deadline, for the way of the answer.
-ANSWER_WAY_MS = 5
-#: Idle connections to the target beyond its slots.
+#: Part of the remaining time that is reserved for returning the answer.
+ANSWER_TRANSIT_MS = 5
+#: Idle connections kept in addition to one per slot of the target.
 SPARE_CONNECTIONS = 4
 MISDIRECTED = 421
 SERVER_ERROR = 500
-#: Fields of the caller that the daemon sets itself.
-_REPLACED = ('deadline_ms', 'expected_target', 'origin', 'workspace')
+#: Header fields that the daemon sets itself, replacing those of the caller.
+_REPLACED_FIELDS = ('deadline_ms', 'expected_target', 'origin', 'workspace')
 
 
 class TargetSide:
@@ -41,21 +41,21 @@
     Parameters
     ----------
     names : HeaderNames
-        Fields shared with targets.
+        Names of the header fields shared with targets.
     addresses : Addresses
-        Where the target listens.
+        Address at which the target listens.
     mesh_settings : MeshSettings
-        Limits.
+        Timeouts and limits.
     target : LocalTarget
-        What the target reported.
+        State that the target reported.
     gate : Gate
-        Admits calls.
+        Admission control for the target.
     link : LinkMeter
-        Tells how much of the link of this host is used.
+        Measures the utilization of the link of this host.
     room : LinkRoom
-        Large bodies that may be on their way to it.
+        Reservations for large request bodies to this host.
     answer_room : AnswerRoom
-        Large answers that are to leave it.
+        Admission control for large answers from this host.
     """
 
     def __init__(
@@ -85,15 +85,15 @@
         self.answer_room = answer_room
         self.speed = balance.OwnSpeed(gate.now_s)
         self.is_leaving = False
-        #: What other daemons should know of this one.
+        #: The member row of this host, once it is known.
         self.row: _messages.MemberRow | None = None
-        #: Calls at the target, by their connections.
+        #: Calls at the target, by connection.
         self._busy: dict[
             transport.ClientConnection, _crash_watch.SentCall
         ] = {}
-        #: Of which the gate has learnt.
+        #: Lifetime that the statistics of the gate are from.
         self._lifetime: _messages.Lifetime | None = None
-        #: The one for which the gate is open.
+        #: Lifetime for which the gate is open.
         self._open_lifetime: _messages.Lifetime | None = None
         self.crashes = _crashes.CrashTable(
             mesh_settings.caller_fields,
@@ -103,13 +103,13 @@
         self.watch = _crash_watch.CrashWatch(
             self.crashes, self.is_listening, gate.now_s
         )
-        self.trials = _trials.TrialDesk()
+        self.trials = _trials.TrialScheduler()
         self.version_trial = _version_trial.VersionTrial()
-        #: Whether the version of the target may get calls.
+        #: Whether the version of the target may receive calls.
         self.is_permitted = True
         self._load_name = names.load.lower()
         self._replaced = transport.HOP_NAMES | frozenset(
-            getattr(names, field).lower() for field in _REPLACED
+            getattr(names, field).lower() for field in _REPLACED_FIELDS
         )
 
     @property
@@ -121,12 +121,12 @@
         )
 
     def leave(self) -> None:
-        """Take no new calls: this daemon ends, whatever its target does."""
+        """Stop admitting calls, because this daemon shuts down."""
         self.is_leaving = True
         self.refresh_gate()
 
     def refresh_gate(self) -> None:
-        """Open or close the gate as the target last reported."""
+        """Open or close the gate according to the state of the target."""
         self._open_lifetime = None
         may_open = self.is_permitted and not self.version_trial.is_stopped
         if self.target.is_open and not self.is_leaving and may_open:
@@ -140,10 +140,10 @@
             self.gate.close(_messages.RefusalReason.LEAVING)
 
     async def is_listening(self) -> bool:
-        """Ask whether the target takes connections.
+        """Return whether the target accepts connections.
 
-        A connection that comes about is kept; without an answer nothing is
-        known, and the target is taken to be there.
+        An established connection goes to the pool.  A timeout tells nothing,
+        so the target is then taken to be listening.
         """
         try:
             connection = await self.pool.open()
@@ -153,89 +153,89 @@
         return True
 
     def note_lifetime(self) -> None:
-        """Start anew with a target that is not the one before."""
-        before, present = self._lifetime, self.target.lifetime
-        if present is None:
-            # Whoever comes next is compared with the last one known.
+        """Reset statistics and connections when the lifetime has changed."""
+        previous, current = self._lifetime, self.target.lifetime
+        if current is None:
+            # The next lifetime is compared with the last known one.
             return
-        self._lifetime = present
-        if before is None:
+        self._lifetime = current
+        if previous is None:
             return
-        is_restart = before.is_before(present)
-        if is_restart or before.target != present.target:
-            if self._open_lifetime == before:
-                # Its end is seen by the next lifetime only.
+        is_restart = previous.is_before(current)
+        if is_restart or previous.target != current.target:
+            if self._open_lifetime == previous:
+                # The crash is detected only by the next lifetime.
                 self._open_lifetime = None
-                self._tell_end(before)
-            LOG.info('target renewed', extra={'target': present.target})
+                self._report_crash(previous)
+            LOG.info('target replaced', extra={'target': current.target})
             self.gate.renew()
             self.speed = balance.OwnSpeed(self.gate.now_s)
             self.pool.close()
         if is_restart:
-            self._end_calls(self.target.earlier_heard_s)
+            self._close_calls(self.target.previous_reported_s)
 
-    def _end_calls(self, until_s: float) -> None:
-        """End the calls that were sent before a moment.
+    def _close_calls(self, until_s: float) -> None:
+        """Close the connections of calls that were sent before a time.
 
-        Those sent while the earlier lifetime was heard are lost with it, and
-        their connections may say so only after seconds, or never: they would
-        hold places of the present one.  Later ones may have reached the
-        present one already.
+        Calls sent while the earlier lifetime still reported are lost with it.
+        Their connections may fail only after seconds or never, and would
+        occupy slots of the current lifetime.  Later calls may already have
+        reached the current one.
         """
         for connection, sent in list(self._busy.items()):
             if sent.at_s < until_s:
                 connection.close()
 
     def _note_end(self, lifetime: _messages.Lifetime) -> None:
-        """Note that nobody listens where a lifetime was.
+        """Record that a lifetime has crashed, and close its connections.
 
-        Calls go where a target listens from now on: a host that refuses at
-        once looks as if it were idle, and draws all of them.
+        Closing the gate makes peers send calls to other hosts: a host whose
+        target refuses at once looks idle and would attract all calls.
         """
         if not self.target.note_down(lifetime):
             return
         self.refresh_gate()
-        self._tell_end(lifetime)
+        self._report_crash(lifetime)
         self.pool.close()
         for connection, sent in list(self._busy.items()):
             if sent.lifetime == lifetime:
                 connection.close()
 
-    def _tell_end(self, lifetime: _messages.Lifetime) -> None:
-        under_way = [
+    def _report_crash(self, lifetime: _messages.Lifetime) -> None:
+        in_flight = [
             sent for sent in self._busy.values() if sent.lifetime == lifetime
         ]
-        self.watch.note_end(lifetime, under_way)
+        self.watch.record_crash(lifetime, in_flight)
 
     def make_report(self, route: base.RouteName) -> _messages.LoadReport:
-        """Make what other daemons are told with the answer to a call."""
+        """Make the load report that is sent to peers with an answer."""
         report = self.gate.make_report(route)
         report.link_percent = max(
             self.link.find_percent(), self.room.used_percent
         )
         report.answer_wait_ms = int(self.answer_room.wait_ms)
         if self.speed.is_known:
-            self._tell_speed(report, route)
+            self._report_speed(report, route)
         return report
 
-    def _tell_speed(
+    def _report_speed(
         self, report: _messages.LoadReport, route: base.RouteName
     ) -> None:
-        """Tell work at the usual speed, and the speed of the moment."""
+        """Report work times at normal speed, and the current slowness."""
         report.slowness_percent = round(self.speed.percent)
         report.work_ms = int(self.speed.work.mean_ms) or report.work_ms
         work_ms = int(self.speed.work.find_ms(route))
         report.route_work_ms = work_ms or report.route_work_ms
 
     def note_load(self, field: str | None) -> None:
-        """Take in the load field of an answer of the target, if any."""
+        """Process the load field of an answer of the target, if any."""
         load = balance.decode_target_load(field) if field else None
         if load is not None:
             self.speed.note_load(load)
 
     def answer_room_request(self, body_bytes: int) -> _messages.CallAnswer:
-        """Tell whether a large body may be sent here."""
-        if self.room.ask(body_bytes):
+        """Answer whether a large body may be sent to this host."""
+        if self.room.reserve(body_bytes):
             return _messages.CallAnswer(
                 _messages.CallOutcome.NOT_RUN,
                 load=self.make_report(_messages.NO_ROUTE),
@@ -249,9 +249,10 @@
     def refuse_if_busy(
         self, call: _messages.TargetCall
     ) -> _messages.CallAnswer | None:
-        """Refuse a call that is only to have a free place; None if it may run.
+        """Refuse a call that must not wait unless a slot is free.
 
-        Whatever else speaks against it is found when it runs.
+        Returns None if it may run; other reasons to refuse it are checked when
+        it runs.
         """
         is_usual = (
             self._check_target(call) is _messages.RefusalReason.NONE
@@ -263,16 +264,17 @@
         now_s = self.gate.now_s()
         wait_ms = self.gate.find_busy_ms(self._make_ticket(call, now_s))
         if wait_ms is None:
-            return self._give_back_if_slow(call)
+            return self._refuse_if_slow(call)
         return self._refuse(call, _messages.RefusalReason.BUSY, wait_ms)
 
-    def _give_back_if_slow(
+    def _refuse_if_slow(
         self, call: _messages.TargetCall
     ) -> _messages.CallAnswer | None:
-        """Refuse a call that is in time elsewhere, and not here just now.
+        """Refuse a call that this target currently runs too slowly.
 
-        Only one that still looks for a place: each is given back by a few
-        hosts at most, and then runs where it is delayed least.
+        Applies only while the sender still looks for a free slot.  A call is
+        returned by a few hosts at most and then runs where it is delayed
+        least.
         """
         left_ms = call.goal_ms or call.remaining_ms
         delay_ms = self.speed.find_delay_ms(call.route, left_ms)
@@ -283,42 +285,47 @@
     async def run_for_peer(
         self, call: _messages.TargetCall
     ) -> _messages.CallAnswer:
-        """Run a call whose answer leaves over the link of this host."""
+        """Run a call of a peer, whose answer uses the link of this host."""
         room = self.answer_room
         work_ms = self.gate.work.find_mean_ms(call.route)
         goal_s = self.gate.now_s() + call.goal_ms / 1000
-        if not room.has_room(call.route, work_ms, goal_s):
-            self.gate_log.note_refused(call.route)
+        if not room.can_send_in_time(call.route, work_ms, goal_s):
+            self.gate_log.count_refused(call.route)
             return self._refuse(
                 call, _messages.RefusalReason.LINK_FULL, int(room.wait_ms)
             )
-        promised = room.promise(call.route)
+        reserved_bytes = room.reserve(call.route)
         size_bytes = None
         try:
             answer = await self.run(call)
             if answer.response is not None:
                 size_bytes = len(answer.response.body)
         finally:
-            room.end(call.route, promised, size_bytes)
+            room.release(call.route, reserved_bytes, size_bytes)
         return answer
 
     async def run(self, call: _messages.TargetCall) -> _messages.CallAnswer:
         """Run a call at the local target, or refuse it."""
         arrived_s = self.gate.now_s()
-        fingerprint = self._learn_of(call)
+        fingerprint = self._merge_evidence(call)
         if fingerprint is None:
             call.is_trial = False
             return await self._admit(call, arrived_s)
         return await self._run_suspect(call, fingerprint, arrived_s)
 
-    def _learn_of(self, call: _messages.TargetCall) -> base.Fingerprint | None:
-        """Take in what the sender knows of a call."""
+    def _merge_evidence(
+        self, call: _messages.TargetCall
+    ) -> base.Fingerprint | None:
+        """Merge the crash evidence of the sender; return the fingerprint.
+
+        Returns None when no crash is known for the request.
+        """
         if call.crashes:
             fingerprint = self.crashes.make_fingerprint(call.request)
             self.crashes.blame(fingerprint, call.crashes)
         fingerprint = self.crashes.find(call.request)
         if fingerprint is not None:
-            self.crashes.forgive(fingerprint, call.forgiven)
+            self.crashes.clear(fingerprint, call.forgiven)
         return fingerprint
 
     async def _run_suspect(
@@ -327,22 +334,22 @@
         fingerprint: base.Fingerprint,
         arrived_s: float,
     ) -> _messages.CallAnswer:
-        """Run a call under which targets have ended, if it may run here.
+        """Run a call during which targets have crashed, if it may run here.
 
-        Copies of it wait for the first one, which shows what to expect.
+        Copies of it wait for the result of the first one.
         """
         crashes = self.crashes
-        while crashes.judge(fingerprint) is _crashes.Standing.SUSPECT:
+        while crashes.find_standing(fingerprint) is _crashes.Standing.SUSPECT:
             if not call.is_trial:
                 return self._refuse(call, _messages.RefusalReason.SUSPECTED)
             count = crashes.count_crashes(fingerprint)
-            if self.trials.begin(fingerprint, count):
+            if self.trials.try_start(fingerprint, count):
                 try:
                     return await self._admit(call, arrived_s)
                 finally:
-                    self.trials.end(fingerprint)
+                    self.trials.finish(fingerprint)
             await self.trials.wait()
-        if crashes.judge(fingerprint) is _crashes.Standing.QUARANTINED:
+        if crashes.find_standing(fingerprint) is _crashes.Standing.QUARANTINED:
             return self._refuse(call, _messages.RefusalReason.QUARANTINED)
         call.is_trial = False
         return await self._admit(call, arrived_s)
@@ -350,50 +357,54 @@
     async def _admit(
         self, call: _messages.TargetCall, arrived_s: float
     ) -> _messages.CallAnswer:
-        """Let a call through the gate to the target."""
+        """Pass a call through admission control and send it to the target."""
         reason = self._check_target(call)
         if reason is not _messages.RefusalReason.NONE:
             return self._refuse(call, reason)
-        given_back = self._give_back_if_slow(call)
-        if given_back is not None:
-            return given_back
+        refusal = self._refuse_if_slow(call)
+        if refusal is not None:
+            return refusal
         ticket = self._make_ticket(call, arrived_s)
         try:
             await self.gate.enter(ticket)
         except _gate.GateRefused as error:
             if error.reason is not _messages.RefusalReason.BUSY:
-                self.gate_log.note_refused(call.route)
+                self.gate_log.count_refused(call.route)
             return self._refuse(call, error.reason, error.retry_after_ms)
         answer = None
         started_s = self.gate.now_s()
-        begin_percent = self.speed.percent
-        self.gate_log.note_admitted(call.route, (started_s - arrived_s) * 1000)
+        speed_percent = self.speed.percent
+        self.gate_log.count_admitted(
+            call.route, (started_s - arrived_s) * 1000
+        )
         try:
-            answer = await self._send_if_there(call, ticket)
+            answer = await self._send_if_valid(call, ticket)
         finally:
             elapsed_ms = (self.gate.now_s() - started_s) * 1000
-            result = _judge(answer)
+            result = _classify_result(answer)
             self.gate.leave(ticket, result, elapsed_ms)
-            self._note_evidence(call.route, result, elapsed_ms, started_s)
+            self._record_trial_result(
+                call.route, result, elapsed_ms, started_s
+            )
             if result is _gate.CallResult.DONE:
-                self.speed.note_work(call.route, elapsed_ms, begin_percent)
+                self.speed.note_work(call.route, elapsed_ms, speed_percent)
         if answer.outcome is _messages.CallOutcome.ANSWERED:
             fingerprint = self.crashes.find(call.request)
             if fingerprint is not None:
-                self.crashes.forgive(fingerprint)
+                self.crashes.clear(fingerprint)
         answer.load = self.make_report(call.route)
         return answer
 
-    def _note_evidence(
+    def _record_trial_result(
         self,
         route: base.RouteName,
         result: _gate.CallResult,
         elapsed_ms: float,
         started_s: float,
     ) -> None:
-        """Count a call for or against the version of the target.
+        """Record the result of a call for the trial of the target's version.
 
-        Not while it is cold: all versions are slow then.
+        Skipped during warm-up, when every version is slow.
         """
         is_on = (
             self.version_trial.is_on and started_s >= self.target.cold_until_s
@@ -424,26 +435,30 @@
     def _check_target(
         self, call: _messages.TargetCall
     ) -> _messages.RefusalReason:
-        """Say why a call cannot run here, if its target is not there."""
+        """Return why a call cannot run here if its target is not present."""
         if self.target.target is None or self.target.is_down:
             return _messages.RefusalReason.TARGET_UNKNOWN
         if self.target.target != call.target:
             return _messages.RefusalReason.WRONG_TARGET
         return _messages.RefusalReason.NONE
 
-    async def _send_if_there(
+    async def _send_if_valid(
         self, call: _messages.TargetCall, ticket: _gate.Ticket
     ) -> _messages.CallAnswer:
-        """Send a call, unless that has become wrong while it waited.
+        """Send a call unless it became invalid while it waited.
 
-        Its target may have changed, and others may have ended under it.
+        The target may have been replaced, or others may have crashed during
+        the same request.
         """
         reason = self._check_target(call)
         if reason is not _messages.RefusalReason.NONE:
             return self._refuse(call, reason)
         fingerprint = self.crashes.find(call.request)
         if fingerprint is not None and not call.is_trial:
-            if self.crashes.judge(fingerprint) is not _crashes.Standing.SOUND:
+            if (
+                self.crashes.find_standing(fingerprint)
+                is not _crashes.Standing.SOUND
+            ):
                 return self._refuse(call, _messages.RefusalReason.SUSPECTED)
         return await self._send(call, ticket)
 
@@ -458,23 +473,23 @@
             reason=reason,
             retry_after_ms=retry_after_ms,
             load=self.make_report(call.route),
-            member=self._find_member(reason),
+            member=self._find_current_row(reason),
             crashes=self._list_crashes(call),
         )
 
     def _list_crashes(
         self, call: _messages.TargetCall
     ) -> tuple[_crash_records.CrashEvidence, ...]:
-        """Return the ends that speak against a call."""
+        """Return the crashes that count against a request."""
         fingerprint = self.crashes.find(call.request)
         return self.crashes.list_crashes(fingerprint) if fingerprint else ()
 
-    def _find_member(
+    def _find_current_row(
         self, reason: _messages.RefusalReason
     ) -> _messages.MemberRow | None:
-        """Return the row that a sender should hold, if its own is old."""
-        is_old = reason is _messages.RefusalReason.WRONG_TARGET
-        return self.row if is_old and self.gate.is_open else None
+        """Return the current member row if that of the sender is outdated."""
+        is_outdated = reason is _messages.RefusalReason.WRONG_TARGET
+        return self.row if is_outdated and self.gate.is_open else None
 
     async def _send(
         self, call: _messages.TargetCall, ticket: _gate.Ticket
@@ -496,7 +511,7 @@
             self.pool.put(connection)
             return self._refuse(call, _messages.RefusalReason.TARGET_UNKNOWN)
         remaining_ms = int((ticket.deadline_s - self.gate.now_s()) * 1000)
-        if remaining_ms <= ANSWER_WAY_MS:
+        if remaining_ms <= ANSWER_TRANSIT_MS:
             self.pool.put(connection)
             return self._refuse(call, _messages.RefusalReason.DEADLINE)
         data = self._encode(call, remaining_ms)
@@ -505,7 +520,7 @@
         try:
             response = await connection.exchange(
                 data,
-                lambda item: self._is_own(item, call),
+                lambda item: self._matches_call(item, call),
                 call.request.method == 'HEAD',
             )
         except transport.ExchangeFailed as error:
@@ -518,7 +533,7 @@
                 crashes=self._list_crashes(call),
             )
         except asyncio.CancelledError:
-            self.watch.note_lost(sent)
+            self.watch.add_lost_call(sent)
             raise
         finally:
             del self._busy[connection]
@@ -541,11 +556,11 @@
         )
 
     async def _settle_loss(self, sent: _crash_watch.SentCall) -> None:
-        """Find out whether a call was lost with its target."""
-        self.watch.note_lost(sent)
+        """Check whether a call was lost because its target crashed."""
+        self.watch.add_lost_call(sent)
         is_present = self.target.lifetime == sent.lifetime
         if is_present and self.target.is_open:
-            if await self.watch.has_ended():
+            if await self.watch.has_crashed():
                 self._note_end(sent.lifetime)
 
     def _encode(self, call: _messages.TargetCall, remaining_ms: int) -> bytes:
@@ -560,17 +575,17 @@
             headers.append((names.workspace, call.workspace))
         return transport.encode_request(call.request, headers)
 
-    def _is_own(
+    def _matches_call(
         self, response: transport.Response, call: _messages.TargetCall
     ) -> bool:
-        """An answer that names another request belongs to that one."""
+        """Whether a response belongs to a call, by the echoed request id."""
         echoed = response.find(self.names.request_id.lower())
         return echoed is None or echoed == call.request_id
 
     def _classify(
         self, response: transport.Response, call: _messages.TargetCall
     ) -> _messages.CallAnswer:
-        """Tell the target's answer from a refusal and from damage."""
+        """Classify a response as answer, refusal or damaged response."""
         if response.status == MISDIRECTED:
             self._note_misdirected(call)
             return _messages.CallAnswer(
@@ -585,7 +600,7 @@
                 reached_target=True,
                 detail=f'status {response.status}',
             )
-        if not self._is_sound(response):
+        if not self._is_intact(response):
             return _messages.CallAnswer(
                 _messages.CallOutcome.UNKNOWN,
                 reason=_messages.RefusalReason.DAMAGED,
@@ -597,27 +612,28 @@
         )
 
     def _note_misdirected(self, call: _messages.TargetCall) -> None:
-        """Close the gate where another target answers for the present one.
+        """Close the gate if another target answers at the address.
 
-        A call that names an earlier one says nothing of it.
+        A call that names an earlier target proves nothing about the current
+        one.
         """
         lifetime = self.target.lifetime
         if lifetime is None or lifetime.target != call.target:
             return
         if self._open_lifetime == lifetime:
             self._open_lifetime = None
-            self._tell_end(lifetime)
+            self._report_crash(lifetime)
         self.target.forget()
         self.refresh_gate()
 
-    def _is_sound(self, response: transport.Response) -> bool:
+    def _is_intact(self, response: transport.Response) -> bool:
         if response.find('content-encoding') is not None:
             return False
         return response.find(self.names.proof.lower()) is not None
 
 
-def _judge(answer: _messages.CallAnswer | None) -> _gate.CallResult:
-    """Tell the gate how a call ended, as far as its target shows."""
+def _classify_result(answer: _messages.CallAnswer | None) -> _gate.CallResult:
+    """Classify the result of a call for the statistics of the gate."""
     if answer is None:
         return _gate.CallResult.CANCELLED
     if answer.reason is _messages.RefusalReason.TARGET_REFUSED:
--- a/sedgering/mesh/_trials.py
+++ b/sedgering/mesh/_trials.py
@@ -1,45 +1,45 @@
-"""Lets suspects run at the local target so that an end tells whose it was."""
+"""Schedules suspects so that a crash can be attributed to one of them."""
 
 import asyncio
 
 from sedgering import base
 
-__all__ = ['TrialDesk']
+__all__ = ['TrialScheduler']
 
-#: Ends from which on a request runs apart from all other suspects.  Those of
-#: the first end are a dozen, most of them repeats that do no harm: one at a
-#: time they would wait for seconds.
-ALONE_FROM_CRASHES = 2
+#: Crashes from which on a request runs apart from all other suspects.  A first
+#: crash names a dozen requests, most of them harmless repeats, which would
+#: wait for seconds if they ran one at a time.
+EXCLUSIVE_FROM_CRASHES = 2
 
 
-class TrialDesk:
-    """Suspects that run at the local target."""
+class TrialScheduler:
+    """Limits which suspects run at the local target at the same time."""
 
     def __init__(self):
-        #: Whether each must be the only one.
+        #: Running suspects, and whether each must run alone.
         self._running: dict[base.Fingerprint, bool] = {}
         self._waiters: list[asyncio.Future] = []
 
-    def begin(self, fingerprint: base.Fingerprint, crashes: int) -> bool:
-        """Let a suspect run if it may; say whether it does.
+    def try_start(self, fingerprint: base.Fingerprint, crashes: int) -> bool:
+        """Start a suspect if it may run now; return whether it did.
 
         Parameters
         ----------
         fingerprint : Fingerprint
-            Of the request, of which one copy runs at a time.
+            Fingerprint of the request, of which one copy runs at a time.
         crashes : int
-            Ends that speak against it.
+            Number of crashes that count against it.
         """
-        is_alone = crashes >= ALONE_FROM_CRASHES
+        is_exclusive = crashes >= EXCLUSIVE_FROM_CRASHES
         if fingerprint in self._running or any(self._running.values()):
             return False
-        if is_alone and self._running:
+        if is_exclusive and self._running:
             return False
-        self._running[fingerprint] = is_alone
+        self._running[fingerprint] = is_exclusive
         return True
 
-    def end(self, fingerprint: base.Fingerprint) -> None:
-        """Note that a suspect has ended, in whatever way."""
+    def finish(self, fingerprint: base.Fingerprint) -> None:
+        """Remove a suspect that has ended, whatever its result."""
         del self._running[fingerprint]
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
--- a/sedgering/mesh/_version_trial.py
+++ b/sedgering/mesh/_version_trial.py
@@ -1,4 +1,4 @@
-"""What the daemon beside a target learns of the version of its software."""
+"""Evidence on the software version of the local target in a rollout."""
 
 from sedgering import base
 from sedgering.mesh import _gate
@@ -10,16 +10,16 @@
 
 
 class VersionTrial:
-    """Counts what the local target shows while its set is rolled out.
+    """Records results of the local target while its set is rolled out.
 
     Attributes
     ----------
     is_on : bool
-        Whether calls are counted.
+        Whether results are recorded.
     is_stopped : bool
-        Whether the target has failed so many calls that it gets none any
-        more, whatever the row says: the verdict takes a second to get round,
-        longer with the store away.
+        Whether the target failed so many calls that it receives no more,
+        whatever the rollout row says.  The verdict takes a second to reach
+        all daemons, and longer while the store is unavailable.
     """
 
     def __init__(self):
@@ -32,14 +32,14 @@
     def follow(
         self, row: rollout.Rollout | None, version: base.SoftwareVersion
     ) -> None:
-        """Take in how far the rollout of the set has come.
+        """Update the state of the rollout of the set.
 
         Parameters
         ----------
         row : Rollout or None
-            Of the set.
+            Rollout of the set; None without one.
         version : str
-            Of the local target.
+            Version of the local target.
         """
         self.is_on = row is not None and not row.stage.is_final
         if not self.is_on:
@@ -53,20 +53,20 @@
         is_on_trial = row.stage is _Stage.TRIAL
         self._is_new = is_on_trial and version == row.new
         if not self._is_new:
-            # Once all calls go to the new version, one target that fails may
-            # not take its place away by itself.
+            # Once all calls go to the new version, a failing target must not
+            # take itself out of service.
             self.is_stopped = False
 
     def note(
         self, route: base.RouteName, is_failure: bool, elapsed_ms: float
     ) -> None:
-        """Count one call."""
+        """Record one call, and stop the target if it plainly fails."""
         self._evidence.note(route, is_failure, elapsed_ms)
         if self._is_new and rollout.is_plainly_bad(self._evidence):
             self.is_stopped = True
 
     def has_just_changed(self) -> bool:
-        """Whether it has stopped, or goes on, since the last question."""
+        """Whether `is_stopped` has changed since the previous check."""
         is_changed = self.is_stopped is not self._was_stopped
         self._was_stopped = self.is_stopped
         return is_changed
@@ -74,14 +74,14 @@
     def find_evidence(
         self, order_revision: int, gate: _gate.Gate
     ) -> rollout.Evidence:
-        """Return what was counted since an order.
+        """Return the evidence since a rollout order.
 
         Parameters
         ----------
         order_revision : int
-            Of the order.
+            Revision of the order.
         gate : Gate
-            Tells what runs now.
+            Gate that knows the running and queued calls.
         """
         if self._evidence.order_revision != order_revision:
             return rollout.Evidence(
--- a/sedgering/mesh/_work.py
+++ b/sedgering/mesh/_work.py
@@ -1,4 +1,4 @@
-"""How long work takes at a target: by route, and over all of them."""
+"""Work times at a target, per route and over all routes."""
 
 import collections
 from collections.abc import Collection
@@ -7,20 +7,20 @@
 
 __all__ = ['WorkTimes']
 
-#: Weight of the newest work time in the moving means.
+#: Weight of the newest work time in the moving averages.
 MEAN_WEIGHT = 0.1
-#: Work time assumed of a target that has not been seen.
-FIRST_WORK_MS = 100.0
-#: Newest work times of a route that quantiles are taken of: about a second
-#: at fifty calls a second, enough to follow a target that turns slow.
-SAMPLES = 64
-#: Work times of a route that must be known before its quantiles are used.
-LEAST_SAMPLES = 8
-#: New work times after which quantiles are computed again.
-REFRESH_AFTER = 8
-#: Quantile of a route of which too little is known, as a multiple of the
-#: mean: that of work whose logarithm deviates by 0.5 to 0.8.
-UNKNOWN_QUANTILE = 1.6
+#: Work time assumed for a target before its first call ends.
+INITIAL_WORK_MS = 100.0
+#: Work times of a route over which quantiles are computed: about a second
+#: at fifty calls a second, recent enough to follow a target that slows down.
+MAX_SAMPLES = 64
+#: Minimum number of work times of a route for its quantile to be used.
+MIN_SAMPLES = 8
+#: Number of new work times after which the quantile is computed again.
+REFRESH_SAMPLES = 8
+#: Quantile assumed for a route with too few work times, as a multiple of its
+#: mean: that of a log-normal distribution with a sigma of 0.5 to 0.8.
+DEFAULT_QUANTILE_FACTOR = 1.6
 
 
 class _RouteWork:
@@ -29,22 +29,22 @@
     def __init__(self, elapsed_ms: float):
         self.mean_ms = elapsed_ms
         self.samples: collections.deque[float] = collections.deque(
-            maxlen=SAMPLES
+            maxlen=MAX_SAMPLES
         )
         self.quantile_ms: float | None = None
-        self._fresh = 0
+        self._unprocessed = 0
 
-    def note(self, elapsed_ms: float, share: float) -> None:
-        """Take in one work time."""
+    def note(self, elapsed_ms: float, quantile: float) -> None:
+        """Add one work time and refresh the quantile if it is due."""
         self.mean_ms += MEAN_WEIGHT * (elapsed_ms - self.mean_ms)
         self.samples.append(elapsed_ms)
-        self._fresh += 1
-        if len(self.samples) < LEAST_SAMPLES:
+        self._unprocessed += 1
+        if len(self.samples) < MIN_SAMPLES:
             return
-        if self.quantile_ms is None or self._fresh >= REFRESH_AFTER:
-            self._fresh = 0
+        if self.quantile_ms is None or self._unprocessed >= REFRESH_SAMPLES:
+            self._unprocessed = 0
             ordered = sorted(self.samples)
-            self.quantile_ms = ordered[int(share * len(ordered))]
+            self.quantile_ms = ordered[int(quantile * len(ordered))]
 
 
 class WorkTimes:
@@ -52,40 +52,40 @@
 
     Parameters
     ----------
-    share : float
-        Of the quantile that :meth:`find_quantile_ms` tells.
+    quantile : float
+        Quantile that :meth:`find_quantile_ms` returns, from 0 to 1.
     """
 
-    def __init__(self, share: float):
-        self.share = share
-        self.mean_ms = FIRST_WORK_MS
+    def __init__(self, quantile: float):
+        self.quantile = quantile
+        self.mean_ms = INITIAL_WORK_MS
         self._routes: dict[base.RouteName, _RouteWork] = {}
 
     def note(self, route: base.RouteName, elapsed_ms: float) -> None:
-        """Take in the work time of one call."""
+        """Add the work time of one call."""
         self.mean_ms += MEAN_WEIGHT * (elapsed_ms - self.mean_ms)
-        known = self._routes.get(route)
-        if known is None:
-            known = self._routes[route] = _RouteWork(elapsed_ms)
-        known.note(elapsed_ms, self.share)
+        route_work = self._routes.get(route)
+        if route_work is None:
+            route_work = self._routes[route] = _RouteWork(elapsed_ms)
+        route_work.note(elapsed_ms, self.quantile)
 
     def find_told_ms(self, route: base.RouteName) -> float:
-        """Return the mean of a route; 0 when it has not been seen."""
-        known = self._routes.get(route)
-        return known.mean_ms if known is not None else 0.0
+        """Return the mean of a route; 0 when none of its calls has ended."""
+        route_work = self._routes.get(route)
+        return route_work.mean_ms if route_work is not None else 0.0
 
     def find_mean_ms(self, route: base.RouteName) -> float:
-        """Return the mean of a route, or of all where it is unknown."""
+        """Return the mean of a route, or of all routes if it has none."""
         return self.find_told_ms(route) or self.mean_ms
 
     def find_quantile_ms(self, route: base.RouteName) -> float:
-        """Return a time within which most calls of a route end."""
-        known = self._routes.get(route)
-        if known is None or known.quantile_ms is None:
-            return UNKNOWN_QUANTILE * self.find_mean_ms(route)
-        return known.quantile_ms
+        """Return the time within which the set share of calls ends."""
+        route_work = self._routes.get(route)
+        if route_work is None or route_work.quantile_ms is None:
+            return DEFAULT_QUANTILE_FACTOR * self.find_mean_ms(route)
+        return route_work.quantile_ms
 
     def retain(self, routes: Collection[base.RouteName]) -> None:
-        """Forget routes that are no longer in force."""
+        """Remove routes that are no longer configured."""
         for route in [name for name in self._routes if name not in routes]:
             del self._routes[route]
