--- a/features/gate.feature
+++ b/features/gate.feature
@@ -1,7 +1,8 @@
 Feature: Decisions of the request path
-  Gate, choice, retry window and member table, with an injected clock.
+  Admission control, target choice, retry window and member table, tested with
+  an injected clock.
 
-  Scenario: Free places are taken at once, and no more than there are
+  Scenario: Calls take free slots at once, up to the limit
     Given a gate with 2 places where work takes 100 ms
     When 3 first calls arrive with a goal of 400 ms
     Then 2 calls run and 1 waits
@@ -11,146 +12,146 @@
     And 2 calls run and 0 first calls wait
     When 6 calls of priority 0 arrive
     And a first call arrives with a goal of 400 ms
-    Then it is refused as shed with a time to return
+    Then it is refused as shed with a retry time
 
-  Scenario: A call of a target waits until its deadline, before all others
+  Scenario: A call issued by a target waits until its deadline, ahead of others
     Given a gate with 2 places where work takes 100 ms
     And 2 calls run and 6 first calls wait
     When a target's call arrives with a goal of 100 ms
-    And a place becomes free
+    And a slot becomes free
     Then the target's call runs
 
-  Scenario: A call in time goes before one that is late
+  Scenario: A call in time is served before a late one
     Given a gate with 1 places where work takes 50 ms
     And 1 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And a first call arrives with a goal of 400 ms
-    And a place becomes free
+    And a slot becomes free
     Then the first call runs and the returning call waits
 
-  Scenario: A late call is refused at once where none of the places are left
+  Scenario: A late call is refused at once when calls in time need all slots
     Given a gate with 1 places where work takes 100 ms
     And 1 calls run and 5 first calls wait
     When a returning call arrives with a goal of 0 ms
-    Then it is refused as shed with a time to return
+    Then it is refused as shed with a retry time
 
-  Scenario: A late call is served where places are left
+  Scenario: A late call is served when slots are left over
     Given a gate with 2 places where work takes 100 ms
     And 2 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
-    And a place becomes free
+    And a slot becomes free
     Then the late call runs
 
-  Scenario: A late call leaves the last places to calls in time
+  Scenario: A late call leaves the reserved slots to calls in time
     Given a gate with 10 places where work takes 10 ms
     And 9 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And a first call arrives with a goal of 400 ms
     Then the first call runs and the returning call waits
 
-  Scenario: A late call is not held once calls in time have taken its turn
+  Scenario: A late call is refused once calls in time have overtaken it
     Given a gate with 1 places where work takes 50 ms
     And 1 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And 12 calls of priority 0 arrive
-    And 120 ms go by
-    Then the returning call is refused as shed with a time to return
+    And 120 ms pass
+    Then the returning call is refused as shed with a retry time
 
-  Scenario: A first call is refused early once others have gone before it
+  Scenario: A first call is refused early once others have overtaken it
     Given a gate with 1 places where work takes 100 ms
     And 1 calls run and 0 first calls wait
     When a first call arrives with a goal of 400 ms
     And 6 calls of priority 0 arrive
-    And 120 ms go by
-    Then the first call is refused as shed with a time to return
+    And 120 ms pass
+    Then the first call is refused as shed with a retry time
 
-  Scenario: A first call that others went before is served late where it can be
+  Scenario: An overtaken first call stays queued as late if it can be served
     Given a gate with 1 places where work takes 100 ms
     And 1 calls run and 0 first calls wait
     When a first call arrives with a goal of 300 ms
     And 1 calls of priority 0 arrive
-    And 120 ms go by
+    And 120 ms pass
     Then 1 calls run and 2 waits
 
-  Scenario: A first call that will end in time is kept
+  Scenario: A first call that will end in time stays queued
     Given a gate with 1 places where work takes 10 ms
     And 1 calls run and 0 first calls wait
     When a first call arrives with a goal of 400 ms
-    And 120 ms go by
+    And 120 ms pass
     Then 1 calls run and 1 waits
 
-  Scenario: A lower priority number goes first
+  Scenario: A lower priority number is served first
     Given a gate with 1 places where work takes 50 ms
     And 1 calls run and 2 first calls wait
     When a first call of priority 0 arrives with a goal of 400 ms
-    And a place becomes free
+    And a slot becomes free
     Then the call of priority 0 runs
 
-  Scenario: A cancelled waiter gives its place in the queue up
+  Scenario: A cancelled call leaves the queue
     Given a gate with 1 places where work takes 50 ms
     And 1 calls run and 2 first calls wait
     When the first waiter is cancelled
-    And a place becomes free
+    And a slot becomes free
     Then 1 calls run and 0 waits
 
-  Scenario: Random refusals do not starve a target
+  Scenario: Random refusals do not lower the limit of a target
     Given a gate with 12 places where work takes 100 ms
     When the target refuses 50 calls
     Then the limit is 12
-    And a peer that is told of it expects more than 300 ms
-    And a peer expects less than 130 ms again after 200 good calls
+    And a peer that receives its report expects more than 300 ms
+    And a peer expects less than 130 ms again after 200 successful calls
 
-  Scenario: A target that fails at once does not seem quick
+  Scenario: A target that fails at once does not seem fast
     Given a gate with 12 places where work takes 100 ms
     When the target fails 50 calls after 1 ms each
-    Then a peer that is told of it expects more than 300 ms
-
-  Scenario: Work takes no longer where calls fail
-    Seen: while the targets of one set refused half of what came, only 8 of
-    239 callers were served within their goal, though places were free; new
-    callers waited behind those that had come back.
-    Cause: the share of failed calls was told as longer work, and by that no
-    caller seemed able to meet its goal any more, from its first try on.
+    Then a peer that receives its report expects more than 300 ms
+
+  Scenario: Failed calls do not raise the reported work time
+    Guards against reporting failures as longer work.  While the targets of one
+    set refused half of the calls, only 8 of 239 callers were served within
+    their goal although slots were free: with the inflated work time no call
+    seemed able to meet its goal, from its first attempt on, and new callers
+    waited behind returning ones.
     Given a gate with 12 places where work takes 100 ms
     And 20 calls were done after 100 ms each
     When the target refuses 50 calls
-    Then a peer that is told of it takes work as 95 to 105 ms
+    Then a peer that receives its report assumes work of 95 to 105 ms
     And a caller with a goal of 200 ms may still meet it
 
-  Scenario: A closed gate refuses those that wait, and lets the rest end
+  Scenario: A closed gate refuses queued calls and lets running ones end
     Given a gate with 1 places where work takes 50 ms
     And 1 calls run and 2 first calls wait
     When the gate closes
     Then the waiting calls are refused as leaving
     And 1 calls run and 0 waits
 
-  Scenario: The window allows its share and its part of the extra
+  Scenario: The retry window allows its ratio and a share of the extra retries
     Given a retry window of ratio 0.2 and extra 10 over 10 s for 5 daemons
     When 100 requests are counted at 0 s
     Then 22 retries are allowed at 1 s
     And 0 retries are allowed at 9 s
     And 2 retries are allowed at 11 s
 
-  Scenario: What has run may spend only a part of the window
+  Scenario: Retries of calls that may have run use only part of the window
     Given a retry window of ratio 0.2 and extra 0 over 10 s for 1 daemons
     When 100 requests are counted at 0 s
     Then 10 retries are allowed at 1 s of a share of 0.5
     And 10 retries are allowed at 1 s
 
-  Scenario: Each target set has its own window
+  Scenario: Each target set has its own retry window
     Given a retry window of ratio 0.2 and extra 10 over 10 s for 5 daemons
     When 100 requests are counted at 0 s
     Then 2 retries are allowed at 1 s for another target set
 
-  Scenario: Any sequence of requests, retries and time keeps the window
+  Scenario: No sequence of requests and retries exceeds the window
     Then no sliding window of any sequence holds more than is allowed
 
   Scenario: The nearer target is chosen until the wait there is longer
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    Then "near" is chosen with 0 calls under way there
-    And "far" is chosen with 6 calls under way at near
+    Then "near" is chosen with 0 calls in flight there
+    And "far" is chosen with 6 calls in flight at near
 
-  Scenario Outline: The cost of a choice does not grow with the set
+  Scenario Outline: The number of candidates does not grow with the set
     Given a set of <far> targets elsewhere and <near> in hall
     When candidates are drawn in hall
     Then <count> are drawn, at least <near drawn> of them in hall
@@ -165,35 +166,35 @@
   Scenario: Large answers stay in their data centre
     Given targets "near" in hall and "far" elsewhere with 2 slots each
     When answers of the route are 90000 bytes
-    Then "near" is chosen with 6 calls under way there
+    Then "near" is chosen with 6 calls in flight there
 
-  Scenario: A nested call does not count callers that it goes before
+  Scenario: A nested call ignores queued callers that it is served before
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    When "near" tells 2 running, 6 waiting of which 0 nested, and work of 100 ms
-    And "far" tells 2 running, 4 waiting of which 4 nested, and work of 100 ms
+    When "near" reports 2 running, 6 waiting of which 0 nested, and work of 100 ms
+    And "far" reports 2 running, 4 waiting of which 4 nested, and work of 100 ms
     Then a nested call of 10 ms goes to "near"
     And a caller's call goes to "far"
 
-  Scenario: A nested call spares callers where both are as quick
+  Scenario: A nested call avoids delaying callers if both targets are as fast
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    When "near" tells 2 running, 16 waiting of which 0 nested, and work of 100 ms
-    And "far" tells 2 running, 0 waiting of which 0 nested, and work of 100 ms
+    When "near" reports 2 running, 16 waiting of which 0 nested, and work of 100 ms
+    And "far" reports 2 running, 0 waiting of which 0 nested, and work of 100 ms
     Then a nested call of 10 ms goes to "far"
 
-  Scenario: A large body stays near longer
+  Scenario: A large body is sent to a near target despite a longer wait
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    Then "near" is chosen for 60000 bytes with 6 calls under way at near
+    Then "near" is chosen for 60000 bytes with 6 calls in flight at near
 
-  Scenario: A target that runs short calls does not seem quick for long ones
+  Scenario: A target that runs short calls does not seem fast for long ones
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    When "near" tells 30 ms of another route and 300 ms of this one
-    And "far" tells 100 ms of this route
-    Then "far" is chosen with 0 calls under way there
+    When "near" reports 30 ms of another route and 300 ms of this one
+    And "far" reports 100 ms of this route
+    Then "far" is chosen with 0 calls in flight there
 
-  Scenario Outline: A large body leaves a near target whose link is full
+  Scenario Outline: A large body avoids a near target whose link is full
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    When "near" tells that <percent> % of its link of <mbps> Mbit/s is used
-    Then "<host>" is chosen for 60000 bytes with 0 calls under way at near
+    When "near" reports that <percent> % of its link of <mbps> Mbit/s is used
+    Then "<host>" is chosen for 60000 bytes with 0 calls in flight at near
 
     Examples:
       | percent | mbps | host |
@@ -202,7 +203,7 @@
       | 90      | 10   | far  |
       | 1       | 1000 | near |
 
-  Scenario Outline: Use of a link
+  Scenario Outline: Utilization of a link
     Given a link of <mbps> Mbit/s on which <bytes> bytes came in <seconds> s
     Then <percent> % of it are used
 
@@ -213,11 +214,11 @@
       | 10   | 625000 | 0.1     | 0       |
       | 0    | 625000 | 1       | 0       |
 
-  Scenario: A target that was slow is tried again in time
+  Scenario: A slow target is tried again after some time
     Given targets "near" in hall and "far" elsewhere with 2 slots each
-    When "near" tells 30 ms of another route and 300 ms of this one
-    And "far" tells 100 ms of this route
-    Then "near" is never chosen at 0 s, and now and then at 12 s
+    When "near" reports 30 ms of another route and 300 ms of this one
+    And "far" reports 100 ms of this route
+    Then "near" is never chosen at 0 s, and sometimes at 12 s
 
   Scenario: A target that has just started is not preferred
     Given targets "near" in hall and "far" elsewhere with 2 slots each
@@ -225,11 +226,11 @@
     Then at 1 s "far" is chosen
     And at 4 s "near" is chosen
 
-  Scenario: A peer that failed is left out while another one is there
+  Scenario: A failed peer is skipped while another one is available
     Given targets "near" in hall and "far" elsewhere with 2 slots each
     When "near" fails
-    Then "far" is chosen with 0 calls under way there
-    And "near" is chosen when "far" was asked already
+    Then "far" is chosen with 0 calls in flight there
+    And "near" is chosen when "far" was already tried
 
   Scenario: A row whose address another host took over is not used
     Given member rows where a later host has the address of an earlier one
@@ -238,15 +239,15 @@
   Scenario: A target that refused as leaving is closed until its row changes
     Given targets "near" in hall and "far" elsewhere with 2 slots each
     When "near" refuses as leaving and the same rows arrive again
-    Then nothing is chosen at 1.9 s when "far" was asked already
-    And "near" is chosen at 2.1 s when "far" was asked already
+    Then nothing is chosen at 1.9 s when "far" was already tried
+    And "near" is chosen at 2.1 s when "far" was already tried
     And "near" is chosen at 0.1 s with another target
 
-  Scenario: A daemon that does not know its target yet is soon asked again
+  Scenario: A daemon that does not know its target yet is soon tried again
     Given targets "near" in hall and "far" elsewhere with 2 slots each
     When "near" refuses as target unknown and the same rows arrive again
-    Then nothing is chosen at 0.1 s when "far" was asked already
-    And "near" is chosen at 0.3 s when "far" was asked already
+    Then nothing is chosen at 0.1 s when "far" was already tried
+    And "near" is chosen at 0.3 s when "far" was already tried
 
   Scenario Outline: Reports out of order
     Given a target that reported <first>
@@ -260,17 +261,17 @@
       | draining 2 | ready 3    | closed |
       | ready 2    | ready 3    | open   |
 
-  Scenario: A target that left stays closed, whatever arrives late
+  Scenario: A target that left stays closed, whatever is reported later
     Then no sequence of reports opens a lifetime that left or was replaced
 
-  Scenario: Calls and answers between daemons come out as they went in
+  Scenario: Calls and answers between daemons survive encoding and decoding
     Then any call and any answer is the same after encoding and decoding
 
-  Scenario: A gate says each second what it did with each route
+  Scenario: The gate logs each second what it did with each route
     Given a gate with 2 places where work takes 100 ms
     When its log counts 2 admitted after 30 ms and 1 refused
     Then its line is "calendar: 2 admitted after 30 ms, 1 refused, work 100 ms"
     And its next line is empty
 
-  Scenario: Daemons of the version before read the load of this one
+  Scenario: Daemons of the previous version read the load of this one
     Then the load field of an answer holds 6 numbers
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,84 +1,85 @@
-Feature: Which requests are held back, and for how long
-  A dozen requests are under way when a target ends, and one of them may be
-  the cause.  Three ends without an answer in between hold it back, the first
-  of which may be of several targets; an answer of any target clears it.
-
-  Scenario Outline: What is known of a request
-    Given a request of which <told> is told
+Feature: Which requests are quarantined, and for how long
+  A dozen requests are running when a target crashes, and one of them may be
+  the cause.  A request is quarantined after three crashes without an answer in
+  between, the first of which may be of several targets; an answer of any
+  target clears it.
+
+  Scenario Outline: Status of a request
+    Given a request for which <events> is recorded
     Then it is <standing>
 
     Examples:
-      | told                               | standing    |
-      | nothing                            | sound       |
-      | end 1                              | suspect     |
-      | end 1, trial 2                     | suspect     |
-      | end 1, trial 2, trial 3            | quarantined |
-      | trial 1, trial 2, trial 3          | quarantined |
-      | trial 3, trial 2, end 1            | quarantined |
-      | end 1, trial 2, trial 2, trial 2   | suspect     |
-      | end 1, trial 2, end 2, end 2       | suspect     |
-      | end 1, end 2, end 3, trial 3       | suspect     |
-      | end 1, end 2, trial 2, trial 1     | suspect     |
-      | end 1, trial 2, trial 3, answer    | sound       |
-      | end 1, trial 2, answer, trial 3    | suspect     |
-      | end 1, answer, end 1               | sound       |
-      | answer, end 1, trial 2, trial 3    | quarantined |
-
-    Examples: targets that end together
-      | told                               | standing    |
-      | end 1, end 2, end 3, end 4, end 5  | suspect     |
-      | end 1, end 2, end 3, trial 4       | suspect     |
-      | end 1, end 2, trial 3, trial 4     | quarantined |
-
-  Scenario: The order in which ends and answers are told does not matter
-    Then daemons that were told the same ends and answers agree
-
-  Scenario: A request that is held back is tried again, less and less often
-    Given a request of which end 1, trial 2, trial 3 is told
+      | events                                      | standing    |
+      | nothing                                     | sound       |
+      | crash 1                                     | suspect     |
+      | crash 1, trial 2                            | suspect     |
+      | crash 1, trial 2, trial 3                   | quarantined |
+      | trial 1, trial 2, trial 3                   | quarantined |
+      | trial 3, trial 2, crash 1                   | quarantined |
+      | crash 1, trial 2, trial 2, trial 2          | suspect     |
+      | crash 1, trial 2, crash 2, crash 2          | suspect     |
+      | crash 1, crash 2, crash 3, trial 3          | suspect     |
+      | crash 1, crash 2, trial 2, trial 1          | suspect     |
+      | crash 1, trial 2, trial 3, answer           | sound       |
+      | crash 1, trial 2, answer, trial 3           | suspect     |
+      | crash 1, answer, crash 1                    | sound       |
+      | answer, crash 1, trial 2, trial 3           | quarantined |
+
+    Examples: targets that crash together
+      | events                                      | standing    |
+      | crash 1, crash 2, crash 3, crash 4, crash 5 | suspect     |
+      | crash 1, crash 2, crash 3, trial 4          | suspect     |
+      | crash 1, crash 2, trial 3, trial 4          | quarantined |
+
+  Scenario: The order in which crashes and answers are reported does not matter
+    Then daemons with the same crashes and answers agree
+
+  Scenario: A quarantined request is tried again, less and less often
+    Given a request for which crash 1, trial 2, trial 3 is recorded
     Then it may be tried after 120 s
-    When trial 4 is told after 1 s
+    When trial 4 is recorded after 1 s
     Then it may be tried after 119 s
-    When trial 5 is told after 121 s
+    When trial 5 is recorded after 121 s
     Then it may be tried after 1200 s
-    When trial 6 is told after 1201 s
+    When trial 6 is recorded after 1201 s
     Then it may be tried after 12000 s
-    When an answer is told after 12001 s
+    When an answer is recorded after 12001 s
     Then it is sound
 
-  Scenario: Nothing is held back where that is switched off
-    Given a limit of 0 ends
-    And a request of which end 1, trial 2, trial 3 is told
+  Scenario: Nothing is quarantined if the limit is 0
+    Given a limit of 0 crashes
+    And a request for which crash 1, trial 2, trial 3 is recorded
     Then it is sound
 
-  Scenario: What is known takes no more room than it may
-    Given a request of which end 1, trial 2, trial 3 is told
-    When 2000 other requests are blamed for one end each
+  Scenario: The number of known requests is bounded
+    Given a request for which crash 1, trial 2, trial 3 is recorded
+    When one crash is recorded for each of 2000 other requests
     Then 512 requests are known, and the first one is quarantined
 
-  Scenario: What is told of one request takes no more room than it may
-    Given a request of which end 1 is told
-    When 200 ends are told of it, each followed by an answer
-    Then 64 ends are told with its calls
+  Scenario: The number of crashes of one request is bounded
+    Given a request for which crash 1 is recorded
+    When 200 crashes are recorded for it, each followed by an answer
+    Then 64 crashes are sent with its calls
 
-  Scenario Outline: Who is named when a target with many places ends
-    Given a target with <count> calls under way, of which call <trial> runs as a suspect
-    When it ends
-    Then 32 requests are named, call <trial> and those that began last
+  Scenario Outline: Which requests are named when a target with many slots crashes
+    Given a target with <count> calls in flight, of which call <trial> runs as a suspect
+    When it crashes
+    Then 32 requests are named, call <trial> and the latest ones
 
     Examples:
       | count | trial |
       | 40    | 1     |
       | 200   | 20    |
 
-  Scenario: What is known is forgotten in the end
-    Given a request of which end 1 is told
-    When another one is blamed 7300 s later
+  Scenario: An old crash is forgotten
+    Given a request for which crash 1 is recorded
+    When a crash is recorded for another one 7300 s later
     Then 1 requests are known
 
-  Scenario: Ends of long ago are not taken from a row that nobody has written
-    Given a request that a row blames for 3 ends of 2 hours ago
+  Scenario: Old crashes of a member row are ignored
+    Given a request for which a row reports 3 crashes of 2 hours ago
     Then it is sound
-    Given a request that a row blames for 3 ends of 0 hours ago
+    Given a request for which a row reports 3 crashes of 0 hours ago
     Then it is quarantined
 
   Scenario Outline: What makes two requests the same
@@ -99,23 +100,23 @@
       | the authorization    | not the same |
       | the cookie           | not the same |
 
-  Scenario Outline: Which suspects run at a target at a time
-    Given a suspect of <first> ends that runs
+  Scenario Outline: Which suspects run at a target at the same time
+    Given a running suspect with <first> crashes
     Then <other> may <run> beside it
 
     Examples:
-      | first | other                  | run     |
-      | 1     | the same suspect       | not run |
-      | 1     | another one of 1 ends  | run     |
-      | 1     | another one of 2 ends  | not run |
-      | 2     | another one of 1 ends  | not run |
-      | 3     | another one of 3 ends  | not run |
-
-  Scenario: All daemons choose the same place for a suspect
+      | first | other                      | run     |
+      | 1     | the same suspect           | not run |
+      | 1     | another one with 1 crashes | run     |
+      | 1     | another one with 2 crashes | not run |
+      | 2     | another one with 1 crashes | not run |
+      | 3     | another one with 3 crashes | not run |
+
+  Scenario: All daemons choose the same host for a suspect
     Given 20 targets of one set
-    Then daemons in any data centre choose the same place for each suspect
-    And when a target ends, only what was to run there goes elsewhere
+    Then daemons in any data centre choose the same host for each suspect
+    And when a target crashes, only its suspects move to other hosts
 
-  Scenario: Daemons of the version before
-    Then they read a suspect that is refused as one that was shed
-    And a row without ends is read, and one with ends that cannot be is not
+  Scenario: Daemons of the previous version
+    Then they read a refused suspect as a shed request
+    And a row without crashes is read, and one with invalid crashes is not
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps over large answers on narrow links, and over connections."""
+"""Steps for large answers on narrow links, and for connections."""
 
 import asyncio
 import heapq
@@ -48,7 +48,7 @@
 
 
 class PacerSubject:
-    """A pacer, and what was written when."""
+    """A pacer that records what it writes and when."""
 
     def __init__(self, mbps):
         self.loop = ManualLoop()
@@ -100,7 +100,7 @@
 @then('the large one took {least:f} to {most:f} s, in pieces')
 def step_large(context, least, most):
     subject = context.pacing
-    # Without the time that the last piece takes on the link.
+    # The last piece is written before it has left the link.
     assert least - 0.02 <= subject.ended_s['large'] <= most, subject.ended_s
     assert len(subject.written) > 20
 
@@ -146,10 +146,7 @@
     assert transport.make_pacer(0, loop) is None
 
 
-@given(
-    'room for answers on a link of {mbps:d} Mbit/s, of {size:d} bytes on a '
-    'route'
-)
+@given('answers of {size:d} bytes on a route, over a link of {mbps:d} Mbit/s')
 def step_room(context, mbps, size):
     loop = ManualLoop()
     pacer = transport.make_pacer(mbps, loop)
@@ -157,23 +154,23 @@
     context.room.release(ROUTE, context.room.reserve(ROUTE), size)
 
 
-@given('{count:d} of them promised')
-def step_promised(context, count):
-    context.promises = [context.room.reserve(ROUTE) for _ in range(count)]
+@given('{count:d} of them expected')
+def step_expected(context, count):
+    context.reservations = [context.room.reserve(ROUTE) for _ in range(count)]
 
 
 @when('{count:d} of them end without an answer')
 def step_end(context, count):
-    for promised in context.promises[:count]:
-        context.room.release(ROUTE, promised, None)
+    for reserved_bytes in context.reservations[:count]:
+        context.room.release(ROUTE, reserved_bytes, None)
 
 
 @then(
     'a call with {work:d} ms of work and {goal:d} ms until its goal {result}'
 )
-def step_has_room(context, work, goal, result):
-    has_room = context.room.can_send_in_time(ROUTE, work, goal / 1000)
-    assert has_room is (result == 'has room'), context.room.wait_ms
+def step_admission(context, work, goal, result):
+    is_admitted = context.room.can_send_in_time(ROUTE, work, goal / 1000)
+    assert is_admitted is (result == 'is admitted'), context.room.wait_ms
 
 
 def _make_peer(peers, host, **report):
@@ -184,7 +181,9 @@
     return row
 
 
-@given('a peer whose link is {wait:d} ms behind, and another that is free')
+@given(
+    'a peer whose link has a backlog of {wait:d} ms, and another that is free'
+)
 def step_two_peers(context, wait):
     context.peers = _peers.PeerTable(mesh.MeshSettings())
     context.rows = [
@@ -246,7 +245,7 @@
     )
 
 
-@given('its route is known by {count:d} answers')
+@given('the size of its answers is known from {count:d} answers')
 def step_known(context, count):
     async def run():
         for number in range(count):
@@ -284,7 +283,7 @@
     context.fleet.run(run())
 
 
-@then('all answers are whole')
+@then('all answers are complete')
 def step_whole(context):
     sizes = [(item.status, len(item.body)) for item in context.answers]
     assert sizes == [(200, context.size)] * len(sizes), sizes
@@ -292,7 +291,7 @@
 
 @then('no small call waited for the end of the large ones')
 def step_not_waited(context):
-    # The first of them takes 0.24 s of the link.
+    # The first large answer occupies the link for 0.24 s.
     assert context.left == len(context.answers), context.left
 
 
@@ -306,14 +305,14 @@
     context.fleet.run(run())
 
 
-@then('those that are answered 200 got whole answers')
+@then('those that are answered 200 got complete answers')
 def step_some(context):
     good = [item for item in context.answers if item.status == 200]
     assert 0 < len(good) < len(context.answers), len(good)
     assert all(len(item.body) == context.size for item in good)
 
 
-@then('the others were refused as not run, with a time to come back')
+@then('the others were refused as not run, with a retry time')
 def step_others(context):
     refused = [item for item in context.answers if item.status != 200]
     for answer in refused:
@@ -326,7 +325,7 @@
 
 
 class LargeService(transport.Service):
-    """Answers with a large body, or a small one for its path."""
+    """Returns a large body, or a small one for the path /small."""
 
     size = 0
 
@@ -376,16 +375,14 @@
     assert body == b'x' * context.size, len(body)
 
 
-@when(
-    'a caller sends ahead a request for the large answer and for a small one'
-)
-def step_ahead(context):
+@when('a caller pipelines requests for the large answer and for a small one')
+def step_pipeline(context):
     large = 'GET /large HTTP/1.1\r\nHost: h\r\n\r\n'
     small = 'GET /small HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n'
     context.raw = _talk(context, (large + small).encode())
 
 
-@then('the large one comes first, whole')
+@then('the large one comes first, complete')
 def step_first(context):
     _head, _mark, rest = context.raw.partition(b'\r\n\r\n')
     assert rest[: context.size] == b'x' * context.size
@@ -417,7 +414,7 @@
         peer.note_unreachable(context.now_s, 'refused', True)
 
 
-@when('a connection to it does not come about')
+@when('a connection to it times out')
 def step_no_connection(context):
     context.peer.note_unreachable(context.now_s, 'TimeoutError', False)
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps over targets that end, and requests under which they do."""
+"""Steps for targets that crash, and the requests that crash them."""
 
 import asyncio
 
@@ -11,39 +11,39 @@
 from sedgering import testing
 
 FATAL_URLS = {'/r0/fatal', '/once/fatal'}
-#: Between two asks of the request that ends targets.
-ASK_GAP_S = 0.05
-#: Between two asks of each of the others.
+#: Pause between two requests that crash targets.
+FATAL_GAP_S = 0.05
+#: Pause between two requests of each other caller.
 OTHERS_GAP_S = 0.02
 OTHERS = 4
-#: Told to those whose request is held back.
-HELD_BACK = b'"code": 5015'
-#: A caller whose request is held back is told to come back later than this.
-LEAST_HOLD_S = 50
-#: Targets that end together, or one after the other with these pauses.
+#: Part of the answer to a quarantined request.
+QUARANTINED_CODE = b'"code": 5015'
+#: Minimum retry time in the answer to a quarantined request.
+MIN_QUARANTINE_S = 50
+#: How many targets crash in a row, and the pause between two crashes.
 CAUSES = {
-    'a cause of their own': (3, 0.3),
-    'a cause of their own, together': (3, 0.0),
+    'unrelated faults': (3, 0.3),
+    'unrelated faults, together': (3, 0.0),
 }
-FIRST_END_S = 0.5
-#: Between two series of ends.
+FIRST_CRASH_S = 0.5
+#: Pause between two series of crashes.
 SERIES_GAP_S = 1.0
-#: Time that the target of the tests takes for its work.
+#: Work time of the test targets.
 WORK_S = 0.02
-#: Time until a target is back that has ended for a cause of its own.
-BACK_S = 0.4
-#: Time in which a row is written.
+#: Restart time of a target that crashed because of an unrelated fault.
+RESTART_S = 0.4
+#: Time within which a member row is written.
 ROWS_S = 0.5
-#: Beyond it nobody waits for an answer.
-STATED_MS = 2000
+#: Deadline of each request.
+DEADLINE_MS = 2000
 
 
-class _Asker:
-    """Asks the hosts of a mesh in turn, and keeps what it was told."""
+class _RepeatingCaller:
+    """Sends a request to the hosts of a mesh in turn; keeps the answers."""
 
     def __init__(self, mesh, name, url, gap_s, waits=False):
-        #: Whether it asks again only once it has been answered, so that what
-        #: it meets does not depend on how busy the machine is.
+        #: Whether it repeats the request only after an answer, so that the
+        #: result does not depend on how busy the machine is.
         self.waits = waits
         self.mesh = mesh
         self.name = name
@@ -52,26 +52,26 @@
         self.answers: dict[str, object] = {}
 
     async def run(self, for_s: float) -> None:
-        """Ask until the time is over; then wait for the last answers."""
+        """Send requests for some time; then wait for the last answers."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + for_s
         hosts = list(self.mesh.fleet.hosts.values())
-        asking = []
+        tasks = []
         while loop.time() < end_s:
-            host = hosts[len(asking) % len(hosts)]
-            request_id = f'{self.name}-{len(asking)}'
-            asking.append(loop.create_task(self._ask(host, request_id)))
+            host = hosts[len(tasks) % len(hosts)]
+            request_id = f'{self.name}-{len(tasks)}'
+            tasks.append(loop.create_task(self._send(host, request_id)))
             if self.waits:
-                await asking[-1]
+                await tasks[-1]
             await asyncio.sleep(self.gap_s)
-        await asyncio.gather(*asking)
+        await asyncio.gather(*tasks)
 
-    async def _ask(self, host, request_id: str) -> None:
+    async def _send(self, host, request_id: str) -> None:
         self.answers[request_id] = await self.mesh.fleet.start_call(
             host.addresses.callers_port,
             self.url,
             X_Request_Id=request_id,
-            X_Request_Deadline=str(STATED_MS),
+            X_Request_Deadline=str(DEADLINE_MS),
         )
 
 
@@ -94,7 +94,7 @@
     mesh.fleet.wait_ready()
 
 
-@given('the store answers nothing')
+@given('the store does not answer')
 def step_store_away(context):
     context.mesh.fleet.engine.faults = testing.Faults(
         mode=testing.StoreMode.SILENT
@@ -108,20 +108,24 @@
 
 
 @when(
-    '"{url}" is asked at each host in turn for {for_s:g} s, '
-    'as others ask "{other_url}"'
+    '"{url}" is requested from each host in turn for {for_s:g} s, '
+    'as others request "{other_url}"'
 )
-def step_ask_fatal(context, url, for_s, other_url):
+def step_request_fatal(context, url, for_s, other_url):
     mesh = context.mesh
-    context.fatal = _Asker(mesh, 'fatal', url, ASK_GAP_S, waits=True)
+    context.fatal = _RepeatingCaller(
+        mesh, 'fatal', url, FATAL_GAP_S, waits=True
+    )
     context.others = [
-        _Asker(mesh, f'other-{number}', f'{other_url}{number}', OTHERS_GAP_S)
+        _RepeatingCaller(
+            mesh, f'other-{number}', f'{other_url}{number}', OTHERS_GAP_S
+        )
         for number in range(OTHERS)
     ]
 
     async def run():
-        askers = (context.fatal, *context.others)
-        await asyncio.gather(*(asker.run(for_s) for asker in askers))
+        callers = (context.fatal, *context.others)
+        await asyncio.gather(*(caller.run(for_s) for caller in callers))
 
     mesh.fleet.run(run())
 
@@ -129,51 +133,53 @@
 @when('all daemons are killed and start again')
 def step_restart(context):
     mesh = context.mesh
-    # Rows that tell of the last end are written by now.
+    # Wait until rows with the last crash are written.
     mesh.fleet.run(asyncio.sleep(ROWS_S))
     mesh.fleet.restart_all()
     mesh.fleet.wait_ready()
 
 
-async def _end_targets(mesh, cause: str) -> None:
-    """End targets for a cause that no request has."""
+async def _crash_targets(mesh, cause: str) -> None:
+    """Crash targets with the fatal request, or without any request."""
     if cause not in CAUSES:
-        asker = _Asker(mesh, 'fatal', '/r0/fatal', ASK_GAP_S, waits=True)
-        await asker.run(2.0)
+        caller = _RepeatingCaller(
+            mesh, 'fatal', '/r0/fatal', FATAL_GAP_S, waits=True
+        )
+        await caller.run(2.0)
         return
     hosts = list(mesh.fleet.hosts.values())
     count, pause_s = CAUSES[cause]
-    await asyncio.sleep(FIRST_END_S)
+    await asyncio.sleep(FIRST_CRASH_S)
     for group in (hosts[:count], hosts[count:]):
         for host in group:
-            mesh.fleet.crash(host, BACK_S)
+            mesh.fleet.crash(host, RESTART_S)
             await asyncio.sleep(pause_s)
         await asyncio.sleep(SERIES_GAP_S)
 
 
 @when(
-    '"{url}" is asked at each host in turn for {for_s:g} s, '
-    'as targets end for {cause}'
+    '"{url}" is requested from each host in turn for {for_s:g} s, '
+    'as targets crash because of {cause}'
 )
-def step_ask_same(context, url, for_s, cause):
+def step_request_same(context, url, for_s, cause):
     mesh = context.mesh
     context.others = [
-        _Asker(mesh, f'same-{number}', url, OTHERS_GAP_S)
+        _RepeatingCaller(mesh, f'same-{number}', url, OTHERS_GAP_S)
         for number in range(OTHERS)
     ]
 
     async def run():
-        askers = (asker.run(for_s) for asker in context.others)
-        await asyncio.gather(_end_targets(mesh, cause), *askers)
+        callers = (caller.run(for_s) for caller in context.others)
+        await asyncio.gather(_crash_targets(mesh, cause), *callers)
 
     mesh.fleet.run(run())
 
 
-@then('none of its askers was told that it is held back')
-def step_not_held(context):
-    for asker in context.others:
-        for answer in asker.answers.values():
-            assert HELD_BACK not in answer.body, answer
+@then('none of its callers was told that it is quarantined')
+def step_not_quarantined(context):
+    for caller in context.others:
+        for answer in caller.answers.values():
+            assert QUARANTINED_CODE not in answer.body, answer
 
 
 @then('no attempt of it ran twice')
@@ -183,8 +189,8 @@
     assert ran and len(set(ran)) == len(ran), ran
 
 
-@when('{count:d} of the targets end')
-def step_some_end(context, count):
+@when('{count:d} of the targets crash')
+def step_some_crash(context, count):
     sight_steps.start_lines(context)
     mesh = context.mesh
 
@@ -193,7 +199,7 @@
             mesh.fleet.crash(host, mesh.back_s)
 
     mesh.fleet.run(run())
-    context.ended = count
+    context.crashed = count
 
 
 @then('{count:d} calls of each host are answered, and few attempts fail')
@@ -206,38 +212,42 @@
                 host.addresses.callers_port,
                 f'/r0/{number}',
                 X_Request_Id=f'{host.name}-{number}',
-                X_Request_Deadline=str(STATED_MS),
+                X_Request_Deadline=str(DEADLINE_MS),
             )
             assert answer.status == 200, answer
     failed = context.lines.list('attempt failed')
-    # Each daemon finds each of them gone, once or twice.
-    assert len(failed) <= 2 * context.ended * len(hosts), len(failed)
+    # Each daemon detects each crash with one or two failed attempts.
+    assert len(failed) <= 2 * context.crashed * len(hosts), len(failed)
 
 
-@then('{most:d} targets have ended at most')
-def step_ended(context, most):
+@then('at most {most:d} targets have crashed')
+def step_crashed(context, most):
     hosts = context.mesh.fleet.hosts.values()
-    ended = sum(host.crashes for host in hosts)
-    assert 0 < ended <= most, f'{ended} targets have ended'
+    crashed = sum(host.crashes for host in hosts)
+    assert 0 < crashed <= most, f'{crashed} targets have crashed'
 
 
-@then('it was told 502 where it had run, and else 503 with a time to return')
-def step_told(context):
+@then('it was answered 502 where it had run, and else 503 with a retry time')
+def step_statuses(context):
     ran = {run[0] for run in context.mesh.list_runs()}
     for request_id, answer in context.fatal.answers.items():
         expected = 502 if request_id in ran else 503
         assert answer.status == expected, (request_id, answer)
         if expected == 503:
-            pause_s = float(answer.find('retry-after'))
-            least_s = LEAST_HOLD_S if HELD_BACK in answer.body else 0
-            assert pause_s > least_s, answer
+            retry_after_s = float(answer.find('retry-after'))
+            minimum_s = (
+                MIN_QUARANTINE_S if QUARANTINED_CODE in answer.body else 0
+            )
+            assert retry_after_s > minimum_s, answer
 
 
-@then('{percent:d} % of its askers were answered by a target')
+@then('{percent:d} % of its callers were answered by a target')
 @then('{percent:d} % of the others were answered by a target')
 def step_others(context, percent):
     answers = [
-        answer for asker in context.others for answer in asker.answers.values()
+        answer
+        for caller in context.others
+        for answer in caller.answers.values()
     ]
     good = sum(answer.status == 200 for answer in answers)
     assert good * 100 >= percent * len(answers), (good, len(answers))
@@ -250,9 +260,9 @@
     assert mesh.fleet.report(mesh.first, 'draining') == 200
 
 
-@when('it is replaced while a call that names it is on its way')
+@when('it is replaced while a call that names it is in flight')
 def step_replaced(context):
-    """Send what a daemon sends that has not heard of the new target yet."""
+    """Queue calls that name the old target, and replace it meanwhile."""
     mesh = context.mesh
     side = mesh.second.daemon.state.side
     gate = side.gate
@@ -265,14 +275,14 @@
                     mesh.first.addresses.callers_port,
                     '/r0/',
                     X_Request_Id=f'{number}',
-                    X_Request_Deadline=str(STATED_MS),
+                    X_Request_Deadline=str(DEADLINE_MS),
                 )
             )
             for number in range(places + 1)
         ]
         while not gate.waiting:
             await asyncio.sleep(0.01)
-        # One waits for a place, and names the target before.
+        # One call is queued and names the previous target.
         mesh.second.books.target = 'i-new'
         mesh.second.sequence = 0
         report = asyncio.to_thread(mesh.fleet.report, mesh.second)
@@ -282,8 +292,8 @@
     mesh.fleet.run(run())
 
 
-@then('the target that is there is open')
-def step_present_open(context):
+@then('the new target is open')
+def step_new_open(context):
     mesh = context.mesh
     mesh.fleet.report(mesh.second)
     target = mesh.second.daemon.state.side.target
@@ -303,7 +313,7 @@
                 mesh.fleet.hosts['hall-0'].addresses.callers_port,
                 asked_url,
                 X_Request_Id=f'{asked_url}-{number}',
-                X_Request_Deadline=str(STATED_MS),
+                X_Request_Deadline=str(DEADLINE_MS),
             )
 
 
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -1,4 +1,4 @@
-"""Steps over gate, choice, retry window and member table."""
+"""Steps for admission control, choice, retry window and member table."""
 
 import asyncio
 import random
@@ -27,12 +27,12 @@
 SET = base.TargetSetName('calendar')
 DEADLINE_S = 2.0
 EXAMPLES = 200
-#: Of random choices that are tried.
+#: Number of seeds for random choices.
 SEEDS = 20
 
 
 class GateSubject:
-    """A gate whose clock stands still, and calls that entered it."""
+    """A gate with its own event loop, and the calls that entered it."""
 
     def __init__(self, places: int, work_ms: float):
         self.loop = asyncio.new_event_loop()
@@ -43,12 +43,12 @@
         self.running: list[mesh.Ticket] = []
 
     def settle(self) -> None:
-        """Let everything that can go on go on."""
+        """Run all callbacks that are ready."""
         for _ in range(5):
             self.loop.run_until_complete(asyncio.sleep(0))
 
     def arrive(self, urgency, goal_ms=400, priority=1) -> asyncio.Task:
-        """Let a call arrive."""
+        """Send a call to the gate and run it as far as it gets."""
         now_s = self.loop.time()
         ticket = mesh.Ticket(
             ROUTE, priority, urgency, now_s + DEADLINE_S, now_s + goal_ms / 1e3
@@ -64,12 +64,12 @@
         return task
 
     def free(self) -> None:
-        """Let one call end."""
+        """End one running call."""
         self.gate.leave(self.running.pop(0), _gate.CallResult.CANCELLED, 0)
         self.settle()
 
     def close(self) -> None:
-        """End what is left."""
+        """Cancel the remaining calls and close the loop."""
         for task in self.tasks:
             task.cancel()
         if self.tasks:
@@ -119,7 +119,7 @@
     context.task = context.gate.arrive(mesh.CallUrgency.FIRST, goal_ms, 0)
 
 
-@when('a place becomes free')
+@when('a slot becomes free')
 def step_free(context):
     context.gate.free()
 
@@ -153,7 +153,7 @@
     assert (gate.running, gate.waiting) == (running, waiting)
 
 
-@then('it is refused as shed with a time to return')
+@then('it is refused as shed with a retry time')
 def step_refused(context):
     error = context.task.exception()
     assert error.reason is mesh.RefusalReason.SHED
@@ -180,13 +180,13 @@
         context.gate.arrive(mesh.CallUrgency.FIRST, 100_000, priority=0)
 
 
-@then('the returning call is refused as shed with a time to return')
-@then('the first call is refused as shed with a time to return')
+@then('the returning call is refused as shed with a retry time')
+@then('the first call is refused as shed with a retry time')
 def step_first_refused(context):
     step_refused(context)
 
 
-@when('{pause_ms:d} ms go by')
+@when('{pause_ms:d} ms pass')
 def step_go_by(context, pause_ms):
     context.gate.loop.run_until_complete(asyncio.sleep(pause_ms / 1000))
 
@@ -208,11 +208,12 @@
 
 
 @then(
-    'a peer expects less than {most_ms:d} ms again after {count:d} good calls'
+    'a peer expects less than {most_ms:d} ms again after {count:d}'
+    ' successful calls'
 )
 def step_recovered(context, most_ms, count):
     end_calls(context.gate, count, _gate.CallResult.DONE, 100)
-    peers, peer = make_told(context)
+    peers, peer = make_reported_peer(context)
     costs = _choice.CallCosts(
         peers, base.DataCentre('hall'), ROUTE, 0, False, 0.0
     )
@@ -225,27 +226,27 @@
     end_calls(context.gate, count, _gate.CallResult.DONE, elapsed_ms)
 
 
-def make_told(context):
-    """Make a peer that was just told what the gate reports."""
+def make_reported_peer(context):
+    """Make a peer that has just received the report of the gate."""
     report = context.gate.gate.make_report(ROUTE)
-    # As it travels between daemons.
+    # Encoded and decoded as between two daemons.
     answer = mesh.CallAnswer(mesh.CallOutcome.NOT_RUN, load=report)
-    load = _hop.decode_answer(decoded(_hop.encode_answer(answer))).load
+    load = _hop.decode_answer(index_response(_hop.encode_answer(answer))).load
     peers = mesh.PeerTable(mesh.MeshSettings())
     peer = peers.find(testing.make_member_row('near', data_centre='hall'))
     peers.take_report(peer, load, ROUTE, 0.0)
     return peers, peer
 
 
-def decoded(response):
-    """Return a response as its reader has it."""
+def index_response(response):
+    """Return a response with its headers indexed, as after parsing."""
     response.fields = _headers.index_headers(response.headers)
     return response
 
 
-@then('a peer that is told of it expects more than {least_ms:d} ms')
+@then('a peer that receives its report expects more than {least_ms:d} ms')
 def step_expected(context, least_ms):
-    peers, peer = make_told(context)
+    peers, peer = make_reported_peer(context)
     costs = _choice.CallCosts(
         peers, base.DataCentre('hall'), ROUTE, 0, False, 0.0
     )
@@ -253,21 +254,24 @@
     assert expected_ms > least_ms, expected_ms
 
 
-@then('a peer that is told of it takes work as {least_ms:d} to {most_ms:d} ms')
+@then(
+    'a peer that receives its report assumes work of {least_ms:d} to'
+    ' {most_ms:d} ms'
+)
 def step_told_work(context, least_ms, most_ms):
-    peers, _peer = make_told(context)
+    peers, _peer = make_reported_peer(context)
     work_ms = peers.typical_work_ms(ROUTE)
     assert least_ms <= work_ms <= most_ms, work_ms
 
 
 @then('a caller with a goal of {goal_ms:d} ms may still meet it')
 def step_may_meet(context, goal_ms):
-    peers, _peer = make_told(context)
+    peers, _peer = make_reported_peer(context)
     assert goal_ms > peers.typical_work_ms(ROUTE) * _chooser.HOPE_SHARE
 
 
 def end_calls(subject, count, result, elapsed_ms):
-    """Let calls arrive and end, one after the other."""
+    """Run calls one after the other, each with the given result."""
     for _ in range(count):
         subject.arrive(mesh.CallUrgency.FIRST)
         subject.gate.leave(subject.running.pop(), result, elapsed_ms)
@@ -333,7 +337,7 @@
 
 
 def count_retries(window, target_set, now_s, share=1.0) -> int:
-    """Spend all that there is."""
+    """Return how many retries the window allows; use them all."""
     count = 0
     while window.take(target_set, now_s, share):
         count += 1
@@ -363,8 +367,8 @@
                 asked.append(now_ms)
             elif window.take(SET, now_ms / 1000):
                 retried.append(now_ms)
-                # As the rule counts: the window that ends now, and the
-                # requests of the same window.
+                # The limit holds for the window that ends now and the
+                # requests in it.
                 start_ms = now_ms - 9500
                 count = sum(at_ms >= start_ms for at_ms in retried)
                 requests = sum(at_ms >= now_ms - 10_000 for at_ms in asked)
@@ -394,7 +398,7 @@
 def choose(
     context, body_bytes=0, tried=(), now_s=0.0, seed=1, is_nested=False
 ):
-    """Choose from hall."""
+    """Choose a target for a caller in the data centre hall."""
     costs = mesh.CallCosts(
         context.peers,
         base.DataCentre('hall'),
@@ -409,20 +413,22 @@
     return peer and peer.row.host
 
 
-def tell(context, host, route, work_ms, mean_ms):
-    """Let a target tell its work times with an answer at 0 s."""
+def report_load(context, host, route, work_ms, mean_ms):
+    """Let a target report its work times with an answer at 0 s."""
     peer = context.peers.find(context.rows[host])
     load = mesh.LoadReport(0, 0, 2, mean_ms, work_ms)
     context.peers.take_report(peer, load, route, 0.0)
 
 
-@when('"{host}" tells 30 ms of another route and {work_ms:d} ms of this one')
+@when('"{host}" reports 30 ms of another route and {work_ms:d} ms of this one')
 def step_tells_two(context, host, work_ms):
-    tell(context, host, base.RouteName('lookup'), 30, 30)
-    tell(context, host, ROUTE, work_ms, 30)
+    report_load(context, host, base.RouteName('lookup'), 30, 30)
+    report_load(context, host, ROUTE, work_ms, 30)
 
 
-@when('"near" tells that {percent:d} % of its link of {mbps:d} Mbit/s is used')
+@when(
+    '"near" reports that {percent:d} % of its link of {mbps:d} Mbit/s is used'
+)
 def step_tells_link(context, percent, mbps):
     for host, row in context.rows.items():
         context.rows[host] = msgspec.structs.replace(row, link_mbps=mbps)
@@ -450,13 +456,13 @@
     assert context.percent == percent, context.percent
 
 
-@when('"{host}" tells {work_ms:d} ms of this route')
+@when('"{host}" reports {work_ms:d} ms of this route')
 def step_tells(context, host, work_ms):
-    tell(context, host, ROUTE, work_ms, work_ms)
+    report_load(context, host, ROUTE, work_ms, work_ms)
 
 
 @when(
-    '"{host}" tells {running:d} running, {waiting:d} waiting of which'
+    '"{host}" reports {running:d} running, {waiting:d} waiting of which'
     ' {nested:d} nested, and work of {work_ms:d} ms'
 )
 def step_tells_queue(context, host, running, waiting, nested, work_ms):
@@ -480,7 +486,7 @@
     context.peers.find(context.rows[host]).note_cold(cold_s)
 
 
-@then('"near" is never chosen at 0 s, and now and then at {now_s:g} s')
+@then('"near" is never chosen at 0 s, and sometimes at {now_s:g} s')
 def step_tried_again(context, now_s):
     for seed in range(SEEDS):
         assert choose(context, seed=seed) == 'far'
@@ -505,15 +511,15 @@
     context.fleet.replace(dict(context.rows))
 
 
-@then('"{host}" is chosen with {count:d} calls under way there')
-@then('"{host}" is chosen with {count:d} calls under way at near')
+@then('"{host}" is chosen with {count:d} calls in flight there')
+@then('"{host}" is chosen with {count:d} calls in flight at near')
 def step_chosen(context, host, count):
     context.peers.find(context.rows['near']).in_flight = count
     assert choose(context) == host
 
 
 @then(
-    '"{host}" is chosen for {size:d} bytes with {count:d} calls under way at'
+    '"{host}" is chosen for {size:d} bytes with {count:d} calls in flight at'
     ' near'
 )
 def step_chosen_large(context, host, size, count):
@@ -521,7 +527,7 @@
     assert choose(context, size) == host
 
 
-@then('"near" is chosen when "far" was asked already')
+@then('"near" is chosen when "far" was already tried')
 def step_chosen_suspect(context):
     assert choose(context, tried=('far',)) == 'near'
 
@@ -542,12 +548,12 @@
     assert [row.host for row in context.fleet.by_set[SET]] == ['new']
 
 
-@then('nothing is chosen at {now_s:g} s when "far" was asked already')
+@then('nothing is chosen at {now_s:g} s when "far" was already tried')
 def step_none_chosen(context, now_s):
     assert choose(context, tried=('far',), now_s=now_s) is None
 
 
-@then('"near" is chosen at {now_s:g} s when "far" was asked already')
+@then('"near" is chosen at {now_s:g} s when "far" was already tried')
 def step_near_chosen(context, now_s):
     assert choose(context, tried=('far',), now_s=now_s) == 'near'
 
@@ -576,7 +582,7 @@
 
 
 def report(context, state, sequence):
-    """Take in a report."""
+    """Pass a report to the local target."""
     context.target.take_report(
         mesh.TargetReport(
             target=base.TargetName('i-1'),
@@ -601,7 +607,7 @@
 
 
 def name_workspace(call):
-    """Let its request name the workspace, as a sender's does."""
+    """Set the workspace of the request, as a sender does."""
     call.request.workspace = call.workspace
     return call
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps over what is known of requests under which targets ended."""
+"""Steps for the status of requests during which targets crashed."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 FINGERPRINT = base.Fingerprint('00000000-0000000000000000')
 LIMIT = 3
-OTHER_END = (mesh.CrashEvidence(mesh.CrashId('x')),)
+OTHER_CRASH = (mesh.CrashEvidence(mesh.CrashId('x')),)
 CALLER_FIELDS = ('authorization', 'cookie')
 EXAMPLES = 300
 SUSPECTS = 200
@@ -45,23 +45,23 @@
 
 
 class TableSubject:
-    """What one daemon knows, at a time that a test sets."""
+    """The crash table of one daemon, with a clock that the test sets."""
 
     def __init__(self, limit: int = LIMIT):
         self.now_s = 1000.0
         self.table = mesh.CrashTable(CALLER_FIELDS, limit, lambda: self.now_s)
 
-    def tell(self, words: str) -> None:
-        """Tell of an end, ``end 1`` or ``trial 1``, or of an answer."""
-        kind, _space, number = words.strip().partition(' ')
-        if kind in ('end', 'trial'):
+    def record(self, event: str) -> None:
+        """Record ``crash 1``, ``trial 1`` or ``answer``; skip ``nothing``."""
+        kind, _space, number = event.strip().partition(' ')
+        if kind in ('crash', 'trial'):
             evidence = mesh.CrashEvidence(number, kind == 'trial')
             self.table.blame(FINGERPRINT, (evidence,))
         elif kind == 'answer':
             self.table.clear(FINGERPRINT)
 
     def find_standing(self) -> str:
-        """Return what is known."""
+        """Return the status of the request."""
         return self.table.find_standing(FINGERPRINT).value
 
 
@@ -83,17 +83,17 @@
     return base.Fingerprint(f'{number:08x}-{number:016x}')
 
 
-@given('a limit of {limit:d} ends')
+@given('a limit of {limit:d} crashes')
 def step_limit(context, limit):
     context.subject = TableSubject(limit)
 
 
-@given('a request of which {told} is told')
-def step_told(context, told):
+@given('a request for which {events} is recorded')
+def step_recorded(context, events):
     if not hasattr(context, 'subject'):
         context.subject = TableSubject()
-    for words in told.split(','):
-        context.subject.tell(words)
+    for event in events.split(','):
+        context.subject.record(event)
 
 
 @then('it is {standing:w}')
@@ -103,7 +103,7 @@
     )
 
 
-@then('daemons that were told the same ends and answers agree')
+@then('daemons with the same crashes and answers agree')
 def step_agree(_context):
     crashes = st.lists(
         st.builds(
@@ -117,16 +117,18 @@
         max_examples=EXAMPLES, deadline=None, derandomize=True, database=None
     )
     @hypothesis.given(crashes, forgiven, st.randoms())
-    def check(told, answered, rng):
+    def check(reported, answered, rng):
         subjects = [TableSubject() for _ in range(3)]
         for subject in subjects:
-            order = list(told) + rng.choices(told, k=3) if told else []
+            order = (
+                list(reported) + rng.choices(reported, k=3) if reported else []
+            )
             rng.shuffle(order)
             for crash in order:
                 subject.table.blame(FINGERPRINT, (crash,))
             subject.table.clear(FINGERPRINT, answered)
         assert len({subject.find_standing() for subject in subjects}) == 1
-        counted = [item for item in told if item.crash not in answered]
+        counted = [item for item in reported if item.crash not in answered]
         trials = {item.crash for item in counted if item.was_trial}
         others = {item.crash for item in counted} - trials
         expected = len(trials) + bool(others)
@@ -148,23 +150,23 @@
     subject.now_s = before_s
 
 
-@when('trial {number:d} is told after {pause_s:d} s')
+@when('trial {number:d} is recorded after {pause_s:d} s')
 def step_trial(context, number, pause_s):
     context.subject.now_s += pause_s
-    context.subject.tell(f'trial {number}')
+    context.subject.record(f'trial {number}')
 
 
-@when('an answer is told after {pause_s:d} s')
+@when('an answer is recorded after {pause_s:d} s')
 def step_answer(context, pause_s):
     context.subject.now_s += pause_s
-    context.subject.tell('answer')
+    context.subject.record('answer')
 
 
-@when('{count:d} other requests are blamed for one end each')
+@when('one crash is recorded for each of {count:d} other requests')
 def step_others(context, count):
     for number in range(1, count + 1):
         context.subject.now_s += 0.01
-        context.subject.table.blame(make_fingerprint(number), OTHER_END)
+        context.subject.table.blame(make_fingerprint(number), OTHER_CRASH)
 
 
 @then('{count:d} requests are known, and the first one is {standing}')
@@ -173,22 +175,22 @@
     step_standing(context, standing)
 
 
-@when('{count:d} ends are told of it, each followed by an answer')
-def step_many_ends(context, count):
+@when('{count:d} crashes are recorded for it, each followed by an answer')
+def step_many_crashes(context, count):
     for number in range(count):
-        context.subject.tell(f'end {number}')
-        context.subject.tell('answer')
+        context.subject.record(f'crash {number}')
+        context.subject.record('answer')
 
 
-@then('{count:d} ends are told with its calls')
-def step_told_ends(context, count):
+@then('{count:d} crashes are sent with its calls')
+def step_sent_crashes(context, count):
     table = context.subject.table
     assert len(table.list_cleared(FINGERPRINT)) == count
     assert not table.list_crashes(FINGERPRINT)
 
 
 @given(
-    'a target with {count:d} calls under way, of which call {trial:d} runs as '
+    'a target with {count:d} calls in flight, of which call {trial:d} runs as '
     'a suspect'
 )
 def step_many_calls(context, count, trial):
@@ -206,15 +208,15 @@
     ]
 
 
-@when('it ends')
-def step_ends(context):
+@when('it crashes')
+def step_crashes(context):
     table = context.subject.table
     watch = _crash_watch.CrashWatch(table, None, table.now_s)
     watch.record_crash(context.lifetime, context.sent)
     (context.record,) = watch.records
 
 
-@then('{count:d} requests are named, call {trial:d} and those that began last')
+@then('{count:d} requests are named, call {trial:d} and the latest ones')
 def step_named(context, count, trial):
     make = context.subject.table.make_fingerprint
     last = [make(sent.request) for sent in context.sent[-count + 1 :]]
@@ -223,10 +225,10 @@
     assert context.record.trials == (own,)
 
 
-@when('another one is blamed {pause_s:d} s later')
+@when('a crash is recorded for another one {pause_s:d} s later')
 def step_later(context, pause_s):
     context.subject.now_s += pause_s
-    context.subject.table.blame(make_fingerprint(1), OTHER_END)
+    context.subject.table.blame(make_fingerprint(1), OTHER_CRASH)
 
 
 @then('{count:d} requests are known')
@@ -234,7 +236,10 @@
     assert len(context.subject.table) == count, len(context.subject.table)
 
 
-@given('a request that a row blames for {count:d} ends of {hours:d} hours ago')
+@given(
+    'a request for which a row reports {count:d} crashes of {hours:d} hours'
+    ' ago'
+)
 def step_old(context, count, hours):
     context.subject = TableSubject()
     ended_ms = clock.wall_ms() - hours * 3_600_000
@@ -264,7 +269,7 @@
     assert (first == second) == (result == 'the same'), context.fingerprints
 
 
-@given('a suspect of {crashes:d} ends that runs')
+@given('a running suspect with {crashes:d} crashes')
 def step_runs(context, crashes):
     context.scheduler = _trials.TrialScheduler()
     assert context.scheduler.try_start(FINGERPRINT, crashes)
@@ -275,7 +280,7 @@
     assert context.scheduler.try_start(FINGERPRINT, 1) == (run == 'run')
 
 
-@then('another one of {crashes:d} ends may {run} beside it')
+@then('another one with {crashes:d} crashes may {run} beside it')
 def step_other_suspect(context, crashes, run):
     other = make_fingerprint(1)
     assert context.scheduler.try_start(other, crashes) == (run == 'run')
@@ -294,8 +299,8 @@
     ]
 
 
-def choose_places(rows) -> dict[base.Fingerprint, str]:
-    """Let one daemon choose, with its own order of rows."""
+def choose_hosts(rows) -> dict[base.Fingerprint, str]:
+    """Choose as one daemon would, with its own order of rows."""
     rows = random.Random().sample(rows, len(rows))
     peers = _peers.PeerTable(mesh.MeshSettings())
     return {
@@ -306,22 +311,22 @@
     }
 
 
-@then('daemons in any data centre choose the same place for each suspect')
-def step_same_place(context):
-    context.places = choose_places(context.rows)
-    assert choose_places(context.rows) == context.places
-    assert len(set(context.places.values())) == len(context.rows)
+@then('daemons in any data centre choose the same host for each suspect')
+def step_same_host(context):
+    context.chosen = choose_hosts(context.rows)
+    assert choose_hosts(context.rows) == context.chosen
+    assert len(set(context.chosen.values())) == len(context.rows)
 
 
-@then('when a target ends, only what was to run there goes elsewhere')
+@then('when a target crashes, only its suspects move to other hosts')
 def step_moves(context):
     gone = context.rows[0].host
-    later = choose_places(context.rows[1:])
-    for fingerprint, place in context.places.items():
-        assert (later[fingerprint] == place) == (place != gone)
+    later = choose_hosts(context.rows[1:])
+    for fingerprint, host in context.chosen.items():
+        assert (later[fingerprint] == host) == (host != gone)
 
 
-@then('they read a suspect that is refused as one that was shed')
+@then('they read a refused suspect as a shed request')
 def step_read_before(_context):
     for reason in (
         mesh.RefusalReason.SUSPECTED,
@@ -338,7 +343,7 @@
         assert outcome[1] == mesh.RefusalReason.SHED.value, outcome
 
 
-@then('a row without ends is read, and one with ends that cannot be is not')
+@then('a row without crashes is read, and one with invalid crashes is not')
 def step_rows(_context):
     record = mesh.CrashRecord('i-1@2', 5, (FINGERPRINT,))
     row = testing.make_member_row('hall-1', crashes=(record,))
@@ -349,16 +354,16 @@
     assert not decode('hall-1', msgspec.json.encode(without)).crashes
     del without['crashes']
     assert not decode('hall-1', msgspec.json.encode(without)).crashes
-    told = fields['crashes'][0]
+    valid = fields['crashes'][0]
     for crashes in (
         None,
         5,
         [{}],
-        [{**told, 'crash': 'with a space'}],
-        [{**told, 'ended_ms': -1}],
-        [{**told, 'suspects': ['other']}],
-        [{**told, 'suspects': [FINGERPRINT] * 33}],
-        [told] * 5,
+        [{**valid, 'crash': 'with a space'}],
+        [{**valid, 'ended_ms': -1}],
+        [{**valid, 'suspects': ['other']}],
+        [{**valid, 'suspects': [FINGERPRINT] * 33}],
+        [valid] * 5,
     ):
         data = msgspec.json.encode({**fields, 'crashes': crashes})
         try:
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -1,4 +1,4 @@
-"""Steps over room on narrow links."""
+"""Steps for reservations on narrow links."""
 
 import json
 
@@ -10,15 +10,15 @@
 from sedgering import testing
 
 
-class RoomSubject:
-    """Room of one link, with a clock of its own."""
+class LinkSubject:
+    """Reservations on one link, with a clock that the test sets."""
 
     def __init__(self, mbps: int):
         self.now_s = 0.0
         self.room = _room.LinkRoom(mbps, lambda: self.now_s)
 
-    def ask(self, size: int, times: int) -> int:
-        """Ask several times; return how often there was room."""
+    def reserve(self, size: int, times: int) -> int:
+        """Reserve several times; return how many were granted."""
         return sum(self.room.reserve(size) for _ in range(times))
 
 
@@ -29,30 +29,30 @@
 
 @then('a body of {size:d} bytes is sent there {how}')
 def step_sent(context, size, how):
-    assert _room.needs_room(context.row, size) is (how == 'after asking')
+    assert _room.needs_room(context.row, size) is (how == 'with a reservation')
 
 
-@given('room on a link of {mbps:d} Mbit/s')
+@given('reservations on a link of {mbps:d} Mbit/s')
 def step_room(context, mbps):
-    context.room = RoomSubject(mbps)
+    context.room = LinkSubject(mbps)
 
 
-@then('bodies of {size:d} bytes get {count:d} promises of {times:d}')
-def step_promises(context, size, count, times):
-    assert context.room.ask(size, times) == count
+@then('{count:d} of {times:d} reservations of {size:d} bytes are granted')
+def step_reservations(context, size, count, times):
+    assert context.room.reserve(size, times) == count
     context.size = size
 
 
 @then('one more after one of them has arrived')
 def step_one_more(context):
     context.room.room.note_arrival(context.size)
-    assert context.room.ask(context.size, 2) == 1
+    assert context.room.reserve(context.size, 2) == 1
 
 
-@then('{count:d} more once the promises have run out')
+@then('{count:d} more once the reservations have expired')
 def step_run_out(context, count):
     context.room.now_s += _room.RESERVATION_TIMEOUT_S
-    assert context.room.ask(context.size, 5) == count
+    assert context.room.reserve(context.size, 5) == count
 
 
 class UploadSubject:
@@ -74,10 +74,10 @@
         self.fleet.wait_ready()
 
     def fill(self, hosts) -> None:
-        """Promise all the room on the links of hosts."""
+        """Reserve the whole capacity of the links of hosts."""
         for host in hosts:
             room = host.daemon.state.side.room
-            self.fleet.run(_promise(room))
+            self.fleet.run(_reserve_all(room))
 
     def upload(self, number: int, size: int):
         """Upload one body from the first host."""
@@ -89,7 +89,7 @@
         )
 
 
-async def _promise(room: _room.LinkRoom) -> None:
+async def _reserve_all(room: _room.LinkRoom) -> None:
     room.now_s = lambda: 0.0
     assert room.reserve(room.limit_bytes)
 
