--- a/features/steps/search_steps.py
+++ b/features/steps/search_steps.py
@@ -76,12 +76,12 @@
 
 @given('a search among hosts')
 def step_search(context):
-    context.search = _search.Search(_search.FreePlaces(), SET, 0)
+    context.search = _search.FreeSlotSearch(_search.SearchStats(), SET, 0)
 
 
 @given('a search among hosts for a body of {size:d} bytes')
 def step_search_body(context, size):
-    context.search = _search.Search(_search.FreePlaces(), SET, size)
+    context.search = _search.FreeSlotSearch(_search.SearchStats(), SET, size)
 
 
 @when('hosts tell waits of {first:d}, {second:d}, {third:d} and {fourth:d} ms')
@@ -108,17 +108,17 @@
 
 def _search_in_vain(places):
     """Begin a search; return whether it was worth it."""
-    search = _search.Search(places, SET, 0)
+    search = _search.FreeSlotSearch(places, SET, 0)
     if not search.is_on:
         return False
-    for number in range(_search.ASKS_LIMIT):
+    for number in range(_search.PROBES_LIMIT):
         search.note_busy(f'h{number}', 100)
     return True
 
 
 @given('{count:d} searches of a set that found nothing')
 def step_in_vain(context, count):
-    context.places = _search.FreePlaces()
+    context.places = _search.SearchStats()
     for _number in range(count):
         _search_in_vain(context.places)
 
@@ -131,18 +131,18 @@
 
 @then('once these have found places again all calls search')
 def step_found_again(context):
-    for _number in range(8 * _search.TRY_EVERY):
-        search = _search.Search(context.places, SET, 0)
+    for _number in range(8 * _search.SEARCH_INTERVAL):
+        search = _search.FreeSlotSearch(context.places, SET, 0)
         if search.is_on:
             search.note_busy('h1', 100)
             search.end(True)
     for _number in range(3):
-        assert _search.Search(context.places, SET, 0).is_on
+        assert _search.FreeSlotSearch(context.places, SET, 0).is_on
 
 
 @then('a call of another set searches')
 def step_other_set(context):
-    assert _search.Search(context.places, 'ledger', 0).is_on
+    assert _search.FreeSlotSearch(context.places, 'ledger', 0).is_on
 
 
 @given('a mesh of {hosts:d} hosts, {full:d} of which have all places taken')
--- a/sedgering/mesh/_attempt.py
+++ b/sedgering/mesh/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, under way at a target."""
+"""One attempt of a request, in flight at a target."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 
 
 class Attempt:
-    """A call under way.
+    """A call in flight.
 
     Parameters
     ----------
     peer : Peer
-        Asked.
+        Where the call was sent.
     task : Task or SentCall
-        Ends with the answer.
+        Done when the call has ended; its result is the answer.
     progress : AttemptProgress
-        Where it is.
+        Stage of the attempt.
     """
 
     def __init__(
@@ -31,15 +31,15 @@
         self.peer = peer
         self.task = task
         self.progress = progress
-        #: When it was sent, and the time that was estimated for it.
+        #: When it was sent, and its estimated duration.
         self.started_s = 0.0
         self.expected_ms = 0.0
-        #: Done when the target or its daemon is silent for too long; None
-        #: where nobody asks.
+        #: Done when the target or its daemon is silent for too long; None when
+        #: not watched.
         self.silence: asyncio.Future | None = None
 
     @property
-    def has_news(self) -> bool:
+    def has_update(self) -> bool:
         """Whether it has ended, or is silent for too long."""
         return self.task.done() or self.is_silent
 
@@ -49,10 +49,10 @@
         return self.silence is not None and self.silence.done()
 
     def watch_silence(self) -> None:
-        """Be told when the target or its daemon is silent."""
+        """Watch for silence of the target or its daemon."""
         self.silence = self.peer.watch_silence()
 
     def forget_silence(self) -> None:
-        """Be told no more."""
+        """Stop watching for silence."""
         if self.silence is not None:
             self.peer.forget_silence(self.silence)
--- a/sedgering/mesh/_budget.py
+++ b/sedgering/mesh/_budget.py
@@ -1,4 +1,4 @@
-"""Retries that this daemon may add to the load of each target set."""
+"""Limits the retries that this daemon adds to the load of a target set."""
 
 import collections
 
@@ -6,40 +6,40 @@
 
 __all__ = ['RetryWindow']
 
-#: Parts of the window; counts older than the window are dropped by parts.
-PARTS = 20
+#: Buckets of the window; old counts are dropped bucket by bucket.
+BUCKETS = 20
 
 
 class _Counts:
     """Requests and retries to one target set in a sliding window."""
 
     def __init__(self):
-        self.parts: collections.deque[list[int]] = collections.deque()
+        self.buckets: collections.deque[list[int]] = collections.deque()
         self.requests = 0
         self.retries = 0
 
-    def advance(self, part: int) -> list[int]:
-        while self.parts and self.parts[0][0] <= part - PARTS:
-            _number, requests, retries = self.parts.popleft()
+    def advance(self, bucket: int) -> list[int]:
+        while self.buckets and self.buckets[0][0] <= bucket - BUCKETS:
+            _number, requests, retries = self.buckets.popleft()
             self.requests -= requests
             self.retries -= retries
-        if not self.parts or self.parts[-1][0] != part:
-            self.parts.append([part, 0, 0])
-        return self.parts[-1]
+        if not self.buckets or self.buckets[-1][0] != bucket:
+            self.buckets.append([bucket, 0, 0])
+        return self.buckets[-1]
 
 
 class RetryWindow:
-    """Allows retries as a share of the requests of a sliding window.
+    """Allows retries as a share of the requests in a sliding window.
 
-    All daemons share one budget for each target set.  Each spends the
-    share of what it sends itself, and its part of the fixed allowance.
+    All daemons share one budget for each target set.  Each daemon uses the
+    share for its own requests, and its part of the fixed allowance.
 
     Parameters
     ----------
     ratio : float
-        Retries allowed for each request.
+        Retries allowed per request.
     extra : float
-        Retries allowed besides, over all daemons.
+        Fixed number of additional retries per window, over all daemons.
     window_s : float
         Length of the window.
     """
@@ -54,9 +54,9 @@
     def note_request(
         self, target_set: base.TargetSetName, now_s: float
     ) -> None:
-        """Count the first arrival of a request."""
-        counts, part = self._find(target_set, now_s)
-        part[1] += 1
+        """Count the first attempt of a request."""
+        counts, bucket = self._find(target_set, now_s)
+        bucket[1] += 1
         counts.requests += 1
 
     def take(
@@ -65,25 +65,25 @@
         now_s: float,
         share: float = 1.0,
     ) -> bool:
-        """Spend one retry; say whether there was one.
+        """Take one retry from the budget; return whether it allowed one.
 
         Parameters
         ----------
         target_set : str
-            To which the request is sent again.
+            Target set that the request is sent to again.
         now_s : float
             Time of the event loop.
         share : float
-            Of all that is allowed, how much may be spent on such retries.
+            Share of the budget that retries of this kind may use.
         """
-        counts, part = self._find(target_set, now_s)
+        counts, bucket = self._find(target_set, now_s)
         allowed = self.ratio * counts.requests + self.extra / self.daemons
         if counts.retries + 1 > share * allowed:
             return False
-        part[2] += 1
+        bucket[2] += 1
         counts.retries += 1
         return True
 
     def _find(self, target_set, now_s) -> tuple[_Counts, list[int]]:
         counts = self._counts.setdefault(target_set, _Counts())
-        return counts, counts.advance(int(now_s * PARTS / self.window_s))
+        return counts, counts.advance(int(now_s * BUCKETS / self.window_s))
--- a/sedgering/mesh/_callers.py
+++ b/sedgering/mesh/_callers.py
@@ -1,9 +1,9 @@
-"""Who calls each route: callers of this host, or the target beside it.
+"""Tells calls of callers of this host from calls of the local target.
 
-Both send to the same port from the same address.  What tells them apart is
-the deadline.  A target that works on a request hands on no more time than
-it was given, so a call whose deadline is later than that of every call
-under way at the local target comes from a caller.
+Both arrive at the same port from the same address; only the deadline tells
+them apart.  A target that works on a request hands on no more time than it
+was given, so a call whose deadline is later than that of every call in
+flight at the local target comes from a caller.
 """
 
 from collections.abc import Collection
@@ -16,76 +16,79 @@
 
 __all__ = ['CallerTable']
 
-#: A request with less of its time left than this share seems to have been
-#: asked before, where all callers of its route wait alike; callers state the
-#: time that is left.
-RETURN_SHARE = 0.97
-#: The same where callers differ in how long they wait: a caller that was told
-#: to come back has waited for an eighth of its time or more.
-UNLIKE_RETURN_SHARE = 0.85
-#: Callers wait alike where first tries state this share of the longest time
-#: on average; of those that differ by up to 15 % the average is 92 %.
-ALIKE_SHARE = 0.97
-#: Weight of the newest first try in what they state on average: a daemon
-#: knows a route after a second or two.
-FIRST_WEIGHT = 1 / 16
-#: By how much a deadline must be later than those of all calls at the
-#: target.  Deadlines travel as whole milliseconds left and gain the time of
-#: two ways over loopback, some 2 ms; ten times that covers a busy loop.
+#: Calls that state less than this share of the longest timeout count as
+#: retries, on routes whose callers all use the same timeout: a caller that
+#: retries states the time that it has left.
+RETRY_SHARE = 0.97
+#: The same on routes whose callers use different timeouts: a caller that was
+#: told to retry has waited for an eighth of its time or more.
+VARIED_RETRY_SHARE = 0.85
+#: Timeouts count as uniform when first tries state this share of the longest
+#: one on average; where they vary by up to 15 %, the average is 92 %.
+UNIFORM_SHARE = 0.97
+#: Weight of the newest first try in the mean stated timeout: it settles within
+#: a second or two.
+FIRST_TRY_WEIGHT = 1 / 16
+#: Margin by which a deadline must be later than those of all calls at the
+#: target. Deadlines travel as whole milliseconds left and gain the time of two
+#: trips over loopback, about 2 ms; ten times that covers a busy event loop.
 DEADLINE_SLACK_S = 0.02
-#: Weight of the newest call in the share of calls that were shown to come
-#: from callers: one proof holds for about forty calls.
+#: Weight of the newest call in the share of calls proven to come from callers:
+#: one proof lasts for about forty calls.
 PROOF_WEIGHT = 1 / 32
-#: Share of proven calls above which a route is taken as called by callers.
-#: A call of a target is proven wrongly only when its parent ended between
-#: the two ways: fewer than one call in a hundred with callers that give up.
+#: Share of proven calls above which the calls of a route count as those of
+#: callers. A call of a target is proven wrongly only when its parent ended
+#: between the two trips: fewer than one call in a hundred with callers that
+#: give up.
 PROVEN_SHARE = 0.01
 
 
 class _RouteCallers(msgspec.Struct):
-    """What is known of the callers of one route.
+    """Statistics of the callers of one route.
 
     Parameters
     ----------
     proven_share : float
         Share of recent calls that can only have come from callers.
     longest_ms : int
-        Longest time that was stated.
-    first_ms : float
-        Time that is stated at first tries, on average.
+        Longest timeout that was stated.
+    mean_first_ms : float
+        Mean timeout stated at first tries.
     """
 
     proven_share: float = 0.0
     longest_ms: int = 0
-    first_ms: float = 0.0
+    mean_first_ms: float = 0.0
 
     def note_stated(self, stated_ms: int) -> None:
-        """Take in the time that a call states."""
+        """Record the timeout that a call states."""
         self.longest_ms = max(self.longest_ms, stated_ms)
-        if stated_ms < self.longest_ms * UNLIKE_RETURN_SHARE:
+        if stated_ms < self.longest_ms * VARIED_RETRY_SHARE:
             return
-        before_ms = self.first_ms or stated_ms
-        self.first_ms = before_ms + FIRST_WEIGHT * (stated_ms - before_ms)
+        before_ms = self.mean_first_ms or stated_ms
+        self.mean_first_ms = before_ms + FIRST_TRY_WEIGHT * (
+            stated_ms - before_ms
+        )
 
     @property
-    def is_alike(self) -> bool:
-        """Whether all callers wait for the same time."""
-        return self.first_ms >= self.longest_ms * ALIKE_SHARE
+    def is_uniform(self) -> bool:
+        """Whether all callers use the same timeout."""
+        return self.mean_first_ms >= self.longest_ms * UNIFORM_SHARE
 
     def find_waited_ms(self, stated_ms: int) -> int:
-        """Return the time since the first try; 0 at a first one.
+        """Return the time since the first try; 0 for a first try.
 
-        Callers that wait for different times are taken to have begun with
-        the average: 15 % of their time, taken off the goal of each first
-        try, would make most of them late as they come.
+        When timeouts vary, callers are assumed to have started with the mean.
+        Assuming the longest would take up to 15 % of the time off the goal of
+        each first try, and most would be late on arrival.
         """
-        if self.is_alike:
-            if stated_ms >= self.longest_ms * RETURN_SHARE:
+        if self.is_uniform:
+            if stated_ms >= self.longest_ms * RETRY_SHARE:
                 return 0
             return self.longest_ms - stated_ms
-        if stated_ms >= self.longest_ms * UNLIKE_RETURN_SHARE:
+        if stated_ms >= self.longest_ms * VARIED_RETRY_SHARE:
             return 0
-        return max(0, round(self.first_ms) - stated_ms)
+        return max(0, round(self.mean_first_ms) - stated_ms)
 
 
 class CallOrigin(msgspec.Struct, frozen=True):
@@ -94,12 +97,12 @@
     Parameters
     ----------
     urgency : CallUrgency
-        Who waits.
+        Whether a caller or a target waits, and whether the call is a retry.
     waited_ms : int
-        Time since the caller's first try, as the time that it has left
-        tells; 0 at the first one.
+        Time since the caller's first try, derived from the time that it has
+        left; 0 for the first try.
     is_hasty : bool
-        Whether it came back sooner than it was told.
+        Whether the caller retried before its Retry-After had passed.
     """
 
     urgency: _messages.CallUrgency
@@ -108,7 +111,7 @@
 
 
 class CallerTable:
-    """Who calls each route, learned from the deadlines of calls."""
+    """Origin of the calls of each route, derived from their deadlines."""
 
     def __init__(self):
         self._routes: dict[base.RouteName, _RouteCallers] = {}
@@ -120,19 +123,19 @@
         received_s: float,
         target_deadline_s: float,
     ) -> CallOrigin:
-        """Take in one call, and say who waits for it.
+        """Record one call, and return its origin.
 
         Parameters
         ----------
         route : str
-            That the call matched.
+            Route that the call matched.
         stated_ms : int
-            Time for which its sender waits.
+            Timeout that its sender states.
         received_s : float
             When its head began to arrive, as time of the event loop.
         target_deadline_s : float
-            Latest deadline of the calls under way at the local target;
-            minus infinity when there is none.
+            Latest deadline of the calls in flight at the local target; minus
+            infinity when there is none.
         """
         known = self._routes.setdefault(route, _RouteCallers())
         deadline_s = received_s + stated_ms / 1000
@@ -147,11 +150,12 @@
         return CallOrigin(
             _messages.CallUrgency.RETURN,
             waited_ms,
-            # Of callers that wait for different times nobody can tell.
-            known.is_alike and overload.is_hasty(waited_ms, known.longest_ms),
+            # Unknown when callers use different timeouts.
+            known.is_uniform
+            and overload.is_hasty(waited_ms, known.longest_ms),
         )
 
     def retain(self, routes: Collection[base.RouteName]) -> None:
-        """Forget routes that are no longer in force."""
+        """Drop routes that are no longer in force."""
         for route in [name for name in self._routes if name not in routes]:
             del self._routes[route]
--- a/sedgering/mesh/_choice.py
+++ b/sedgering/mesh/_choice.py
@@ -1,4 +1,4 @@
-"""Which target set, and which target, a request goes to."""
+"""Chooses the target set, and the target within it, for a request."""
 
 from collections.abc import Collection
 from collections.abc import Sequence
@@ -21,34 +21,36 @@
     'split_candidates',
 ]
 
-#: Relative noise on estimates, so that many daemons with the same reports
-#: do not all choose the same target.
+#: Relative noise on estimates, so that daemons with the same load reports do
+#: not all choose the same target.
 NOISE_SHARE = 0.15
-#: Wait on a link of which half is used.  An upload of 60 kB takes 48 ms on
-#: 10 Mbit/s; it counts twice, since others wait behind it.
-LINK_QUEUE_MS = 100
-#: A link counts as used by this share at most: the wait would be endless.
-MOST_USED = 0.95
-BITS = 8
-#: Answers that take less time on the link wait behind no large one.
+#: Queueing time on a link at 50 % utilisation. Uploading 60 kB takes 48 ms on
+#: 10 Mbit/s; this is twice as much, since other transfers wait behind the
+#: upload.
+HALF_USED_LINK_WAIT_MS = 100
+#: Utilisation is capped here: at 1 the estimated wait would be infinite.
+MAX_LINK_SHARE = 0.95
+BITS_PER_BYTE = 8
+#: Answers that take less time on the link do not wait behind large ones.
 SHORT_ANSWER_MS = 10.0
-#: How much more a target costs for each share of calls that it fails: one that
-#: fails half of them takes two tries, of which the first one is lost.  This
-#: weighs targets against each other; it is no time that a call takes.
-FAILURE_COST = 5.0
-#: Targets that are compared for one call.  A comparison takes 3 us: with all
-#: 24 of a set 66 us, with these 38, and 71 of 300 (bench_choice.py).
-#: Two choices at random are nearly as good as all; this is six times as many.
-MOST_COMPARED = 12
-#: Of these, at most so many of the own data centre.
-NEAR_COMPARED = 8
+#: Relative cost added per share of calls that a target fails. One that fails
+#: half of them needs two attempts, of which the first is lost. The factor
+#: ranks targets; it is not a duration.
+FAILURE_PENALTY = 5.0
+#: Targets that are compared for one call. A comparison takes 3 us: all 24
+#: targets of a set take 66 us, 12 take 38 us, and 12 out of 300 take 71 us.
+#: Two random choices are nearly as good as comparing all targets; this is six
+#: times as many.
+MAX_CANDIDATES = 12
+#: Maximum number of local targets among the candidates.
+MAX_LOCAL_CANDIDATES = 8
 
 
 class WeightedTurns:
-    """Smooth weighted turns: shares are met over any short run.
+    """Smooth weighted round robin over the target sets of a route.
 
-    Random draws miss a weight by chance; turns are off by less than one
-    request for each target set.
+    Each target set stays within one request of its share. Random draws
+    would miss the weights by chance.
     """
 
     def __init__(self):
@@ -57,7 +59,7 @@
         ] = {}
 
     def choose(self, route: bundles.Route) -> base.TargetSetName:
-        """Return the target set whose turn it is."""
+        """Return the next target set in turn."""
         if len(route.targets) == 1:
             return route.targets[0].target_set
         key = (route.name, route.targets)
@@ -76,7 +78,7 @@
         return chosen
 
     def retain(self, routes: Collection[bundles.Route]) -> None:
-        """Forget routes that are no longer in force."""
+        """Drop the state of routes that are no longer in force."""
         if not self._balances:
             return
         keys = {(route.name, route.targets) for route in routes}
@@ -85,18 +87,18 @@
 
 
 class CallCosts:
-    """What one call costs at each of several targets.
+    """Estimates the cost of one call at each of several targets.
 
-    What it costs at all of them is worked out once for each call.
+    Terms that are the same for all targets are computed once per call.
 
     Parameters
     ----------
     peers : PeerTable
-        What is known of the targets.
+        Load and failures of the targets.
     data_centre : DataCentre
         Of this daemon.
     route : str
-        That the request matched; work times are kept by route.
+        Route that the request matched; work times are kept by route.
     body_bytes : int
         Size of the request body.
     is_nested : bool
@@ -104,7 +106,7 @@
     now_s : float
         Time of the event loop.
     left_ms : float
-        Time in which the call should end.
+        Time within which the call should end.
     """
 
     def __init__(
@@ -139,22 +141,22 @@
         )
 
     def estimate_ms(self, peer: _peers.Peer) -> float:
-        """Estimate the time until a target has finished this call, too."""
+        """Estimate the time until a target would finish this call."""
         now_s = self.now_s
         limit = peer.limit
         present = peer.estimate_present(now_s, self._is_nested)
         turns = max(0.0, present + 1 - limit) / limit
-        # A busy target is preferred less before it is full.
+        # Partly loaded targets cost more before they are full.
         spread = 0.1 * present / limit
         slowness = peer.find_slowness(now_s)
         work_ms = peer.estimate_work_ms(self._route, self._typical_ms, now_s)
         work_ms *= slowness
         cost_ms = work_ms + peer.work_ms * slowness * (turns + spread)
         if self._is_nested:
-            # Each call that it overtakes is delayed by its work.
+            # Each call that is overtaken is delayed by the work of this one.
             overtaken = peer.estimate_present(now_s, False) - present
             cost_ms += max(0.0, overtaken) * work_ms / limit
-        cost_ms *= 1 + FAILURE_COST * peer.estimate_failed_share(now_s)
+        cost_ms *= 1 + FAILURE_PENALTY * peer.estimate_failed_share(now_s)
         if peer.row.link_mbps:
             cost_ms += self._estimate_link_ms(peer)
             cost_ms += self._estimate_answer_ms(peer, work_ms)
@@ -163,7 +165,7 @@
         return cost_ms
 
     def make_offer(self, peer: _peers.Peer) -> balance.Offer:
-        """Estimate what a target offers to the call."""
+        """Estimate completion time and success probability at a target."""
         expected_ms = self.estimate_ms(peer)
         if peer.row.data_centre != self._data_centre:
             expected_ms -= self._remote_ms
@@ -175,17 +177,21 @@
     def _estimate_link_ms(self, peer: _peers.Peer) -> float:
         """Estimate the time that the request spends on the link of a target.
 
-        Its link is one whose width is known.
+        Only for targets whose link bandwidth is known.
         """
-        used = min(MOST_USED, peer.estimate_link_share(self.now_s))
-        transfer_ms = self._body_bytes * BITS / (peer.row.link_mbps * 1000)
-        return transfer_ms + LINK_QUEUE_MS * used / (1 - used)
+        used = min(MAX_LINK_SHARE, peer.estimate_link_share(self.now_s))
+        transfer_ms = (
+            self._body_bytes * BITS_PER_BYTE / (peer.row.link_mbps * 1000)
+        )
+        return transfer_ms + HALF_USED_LINK_WAIT_MS * used / (1 - used)
 
     def _estimate_answer_ms(self, peer: _peers.Peer, work_ms: float) -> float:
-        """Estimate the time that the answer takes once its work is done."""
-        transfer_ms = self._answer_bytes * BITS / (peer.row.link_mbps * 1000)
+        """Estimate the time to transfer the answer once the work is done."""
+        transfer_ms = (
+            self._answer_bytes * BITS_PER_BYTE / (peer.row.link_mbps * 1000)
+        )
         if transfer_ms < SHORT_ANSWER_MS:
-            # It goes in between the large ones.
+            # Short answers are sent in between the large ones.
             return transfer_ms
         wait_ms = peer.estimate_answer_wait_ms(self.now_s)
         return transfer_ms + max(0.0, wait_ms - work_ms)
@@ -196,11 +202,11 @@
     data_centre: base.DataCentre,
     rng: random.Random,
 ) -> Sequence[_messages.MemberRow]:
-    """Draw the targets that are compared for one call.
+    """Sample the targets that are compared for one call.
 
-    A small set is compared whole.  Of a large one some of the own data
-    centre and some of all are drawn, so that the cost of a choice does not
-    grow with the set.
+    All targets of a small set are compared. Of a large set, some targets of
+    the own data centre and some of all others are sampled, so that the cost
+    of a choice does not grow with the set.
 
     Parameters
     ----------
@@ -209,23 +215,23 @@
     data_centre : DataCentre
         Of this daemon.
     rng : random.Random
-        Source of the draw.
+        Source of the sample.
     """
-    if len(members) <= MOST_COMPARED:
+    if len(members) <= MAX_CANDIDATES:
         return members
-    near = _draw_near(members, data_centre, rng)
-    return [*near, *rng.sample(members, MOST_COMPARED - len(near))]
+    near = _sample_local(members, data_centre, rng)
+    return [*near, *rng.sample(members, MAX_CANDIDATES - len(near))]
 
 
-def _draw_near(
+def _sample_local(
     members: Sequence[_messages.MemberRow],
     data_centre: base.DataCentre,
     rng: random.Random,
 ) -> list[_messages.MemberRow]:
-    """Draw targets of the own data centre."""
+    """Sample targets of the own data centre."""
     near = [row for row in members if row.data_centre == data_centre]
-    if len(near) > NEAR_COMPARED:
-        return rng.sample(near, NEAR_COMPARED)
+    if len(near) > MAX_LOCAL_CANDIDATES:
+        return rng.sample(near, MAX_LOCAL_CANDIDATES)
     return near
 
 
@@ -234,9 +240,9 @@
     data_centre: base.DataCentre,
     rng: random.Random,
 ) -> tuple[Sequence[_messages.MemberRow], Sequence[_messages.MemberRow]]:
-    """Draw targets of the own data centre, and others, apart.
+    """Sample local and remote targets as two separate sequences.
 
-    As many as :func:`draw_candidates` draws.
+    Together at most as many as :func:`draw_candidates` samples.
 
     Parameters
     ----------
@@ -245,12 +251,12 @@
     data_centre : DataCentre
         Of this daemon.
     rng : random.Random
-        Source of the draw.
+        Source of the sample.
     """
-    near = _draw_near(members, data_centre, rng)
+    near = _sample_local(members, data_centre, rng)
     far = [row for row in members if row.data_centre != data_centre]
-    if len(far) > MOST_COMPARED - len(near):
-        far = rng.sample(far, MOST_COMPARED - len(near))
+    if len(far) > MAX_CANDIDATES - len(near):
+        far = rng.sample(far, MAX_CANDIDATES - len(near))
     return near, far
 
 
@@ -262,29 +268,29 @@
     rng: random.Random,
     busy: _peers.Peer | None = None,
 ) -> _peers.Peer | None:
-    """Choose a target of the own data centre, unless others serve better.
+    """Choose a local target, unless a remote one serves better.
 
     Parameters
     ----------
     near, far : sequence of MemberRow
         Open targets of the own data centre, and of others.
     tried : collection of HostId
-        Hosts that were asked already.
+        Hosts that are not asked again.
     costs : CallCosts
-        Of the call.
+        Cost estimator of the call.
     rng : random.Random
         Noise on the estimates.
     busy : Peer or None
-        Target of the own data centre at which the call can wait, where
-        those that were asked have no free place.
+        Local target at which the call can wait, when those that were asked
+        have no free slot.
 
     Returns
     -------
     Peer or None
-        None when there is nobody left to ask, or waiting serves better.
+        None when no target is left, or when waiting at `busy` serves better.
     """
     best = choose_member(near, tried, costs, rng)
-    if best is not None and _is_doubtful(best, costs.now_s):
+    if best is not None and _has_recent_failure(best, costs.now_s):
         return choose_member([*near, *far], tried, costs, rng)
     known = busy or best
     if known is None:
@@ -293,15 +299,15 @@
     if not costs.distance.is_worth_asking(offer):
         return best
     other = choose_member(far, tried, costs, rng)
-    if other is None or _is_doubtful(other, costs.now_s):
+    if other is None or _has_recent_failure(other, costs.now_s):
         return best
     if costs.distance.prefers_far(offer, costs.make_offer(other)):
         return other
     return best
 
 
-def _is_doubtful(peer: _peers.Peer, now_s: float) -> bool:
-    """Whether a target failed or refused just now."""
+def _has_recent_failure(peer: _peers.Peer, now_s: float) -> bool:
+    """Whether a target has recently failed or shed a call."""
     return peer.is_suspect(now_s) or now_s < peer.shed_until_s
 
 
@@ -319,19 +325,19 @@
     members : sequence of MemberRow
         Open targets of the set.
     tried : collection of HostId
-        Hosts that were asked already.
+        Hosts that are not asked again.
     costs : CallCosts
-        Of the call.
+        Cost estimator of the call.
     rng : random.Random
         Noise on the estimates.
     prefers_open : bool
-        Whether a peer with an open connection goes before all others.
+        Whether peers with an open connection are preferred.
 
     Returns
     -------
     Peer or None
-        None when there is nobody left to ask.  Suspects are asked only
-        when there is nobody else.
+        None when no target is left.  Suspect peers are chosen only when
+        there is no other.
     """
     best = None
     best_key = None
@@ -363,22 +369,22 @@
 ) -> _peers.Peer | None:
     """Choose the one target at which a suspect request may run.
 
-    By highest random weight (Thaler and Ravishankar 1998): daemons that know
-    of the same open targets agree, and when one of them ends, only what was
-    to run there goes elsewhere.
+    Uses highest random weight hashing (Thaler and Ravishankar 1998):
+    daemons that see the same open targets agree, and when one target ends,
+    only the requests assigned to it move.
 
     Parameters
     ----------
     members : sequence of MemberRow
         Open targets of the set.
     peers : PeerTable
-        What is known of them.
+        Load and failures of the targets.
     fingerprint : Fingerprint
         Of the request.
     now_s : float
         Time of the event loop.
     """
-    candidates = [row for row in members if _may_ask(peers.find(row), now_s)]
+    candidates = [row for row in members if _is_usable(peers.find(row), now_s)]
     if not candidates:
         return None
     best = max(
@@ -388,5 +394,5 @@
     return peers.find(best)
 
 
-def _may_ask(peer: _peers.Peer, now_s: float) -> bool:
+def _is_usable(peer: _peers.Peer, now_s: float) -> bool:
     return now_s >= peer.closed_until_s and not peer.is_suspect(now_s)
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -1,4 +1,4 @@
-"""Chooses which target a request goes to, one attempt after the other."""
+"""Chooses the target of each attempt of a request."""
 
 from collections.abc import Sequence
 
@@ -12,28 +12,28 @@
 from sedgering.mesh import _standing
 from sedgering.mesh import _state
 
-__all__ = ['ChosenCall', 'TargetChooser']
+__all__ = ['CallParameters', 'TargetChooser']
 
-#: Share of the typical work time that must be left until the goal for a
-#: request to count as one that may still meet it.
+#: Share of the typical work time that must be left until the goal; with less,
+#: the goal counts as out of reach.
 HOPE_SHARE = 0.7
-#: Hosts of the own data centre that are asked for a free place before one
-#: elsewhere is thought of: with one of two full another is free more often
-#: than not.
-NEAR_ASKS = 2
+#: Local hosts that are asked for a free slot before a remote one is
+#: considered: when half of the hosts are full, two probes find a free slot
+#: more often than not.
+LOCAL_PROBES_LIMIT = 2
 
 
-class ChosenCall(msgspec.Struct, frozen=True):
-    """What a choice needs to know of a request.
+class CallParameters(msgspec.Struct, frozen=True):
+    """Properties of a request that decide which target it goes to.
 
     Parameters
     ----------
     target_set, route : str
-        Where it goes.
+        Target set that serves the request, and route that it matched.
     body_bytes : int
-        Size of its body.
+        Size of the request body.
     urgency : CallUrgency
-        Who waits for it.
+        Whether a caller or a target waits for the answer.
     deadline_s, goal_s : float
         Times of the event loop.
     """
@@ -47,44 +47,45 @@
 
 
 class TargetChooser:
-    """Chooses targets for one request, by what earlier attempts told.
+    """Chooses targets for one request from the results of its attempts.
 
     Parameters
     ----------
     state : RequestState
         Shared by all requests.
-    call : ChosenCall
-        The request.
+    call : CallParameters
+        Properties of the request.
     standing : KnownRequest
-        What is known of it.
-    search : Search
-        For a free place.
+        Crash evidence against the request.
+    search : FreeSlotSearch
+        Search for a target with a free slot.
     """
 
     def __init__(
         self,
         state: _state.RequestState,
-        call: ChosenCall,
+        call: CallParameters,
         standing: _standing.KnownRequest,
-        search: _search.Search,
+        search: _search.FreeSlotSearch,
     ):
         self.state = state
         self.call = call
         self.standing = standing
         self.search = search
-        #: Hosts that had no free place, when that was asked.
-        self.busy_answers = 0
-        #: Gates that refused since the last long silence.
-        self.sheds = 0
-        #: Hosts that may be asked again, or had no target that listens.
-        self.corrections = 0
-        #: Whether a host could not be reached: a connection that is open
-        #: spares the caller another wait.
+        #: Hosts that refused because they had no free slot.
+        self.busy_refusals = 0
+        #: Refusals by load shedding since the last long silence.
+        self.shed_refusals = 0
+        #: Attempts that do not count towards the hops limit: the host named
+        #: another target, or had none that listens.
+        self.uncounted_hops = 0
+        #: Whether a host could not be reached. Peers with an open connection
+        #: are then preferred, to spare the caller another connect timeout.
         self.was_unreachable = False
-        self.asked: list[base.HostId] = []
-        #: Of these, the ones that are not asked again.
+        self.asked_hosts: list[base.HostId] = []
+        #: Hosts that are not asked again.
         self.tried: set[base.HostId] = set()
-        #: Target of a version on trial, where the request went first.
+        #: Target of a version on trial that the first attempt went to.
         self.exposed: _peers.Peer | None = None
 
     @property
@@ -92,35 +93,35 @@
         return self.state.side.gate.now_s()
 
     def note_asked(self, host: base.HostId) -> None:
-        """Note that an attempt goes to a host."""
-        self.asked.append(host)
+        """Record that an attempt goes to a host."""
+        self.asked_hosts.append(host)
         self.tried.add(host)
         self.search.forget(host)
 
     def choose(self) -> _peers.Peer | None:
-        """Choose where the request goes next; None where to nobody."""
-        if not self.asked and not self.standing.is_suspect:
+        """Choose the target of the next attempt; None when there is none."""
+        if not self.asked_hosts and not self.standing.is_suspect:
             peer = self._choose_exposed()
             if peer is not None:
                 return peer
-        hops = len(self.asked) - self.corrections - self.busy_answers
+        hops = len(self.asked_hosts) - self.uncounted_hops - self.busy_refusals
         if hops >= self.state.mesh_settings.hops_limit:
             return None
         if self.standing.is_suspect:
             self.search.end(False)
-            return self._choose_trial_place()
+            return self._choose_trial_target()
         if self.search.is_on:
-            peer = self._choose_maybe_free()
+            peer = self._choose_possibly_free()
             if peer is not None:
                 return peer
             self.search.end(False)
         return self._choose_shortest_wait() or self._choose_untried()
 
     def _choose_exposed(self) -> _peers.Peer | None:
-        """Choose a target of a version on trial, if it may get one more call.
+        """Choose a target of a version on trial, if its quota allows a call.
 
-        Only for a first attempt: what failed there goes to the version that
-        is known to serve.
+        Only for a first attempt: a request that fails there is retried at the
+        version that is known to work.
         """
         state = self.state
         now_s = self._now_s
@@ -131,18 +132,18 @@
         ]
         if not rows or not state.exposure.may_expose(self.call.target_set):
             return None
-        peer = self._choose_of(rows)
+        peer = self._choose_among(rows)
         if peer is None or peer.is_suspect(now_s):
             return None
         state.exposure.note_exposed(self.call.target_set, 1)
         self.exposed = peer
         return peer
 
-    def _choose_trial_place(self) -> _peers.Peer | None:
-        """Choose the one target at which a suspect may run now.
+    def _choose_trial_target(self) -> _peers.Peer | None:
+        """Choose the one target at which a suspect request may run now.
 
-        All daemons choose the same one, so that a request which does harm
-        ends one target after the other, and none beside them.
+        All daemons choose the same target, so that a request that crashes
+        targets crashes one after the other, never several at once.
         """
         peer = _choice.choose_trial_place(
             self.state.fleet.by_set.get(self.call.target_set, ()),
@@ -153,23 +154,23 @@
         is_tried = peer is not None and peer.row.host in self.tried
         return None if is_tried else peer
 
-    def _choose_maybe_free(self) -> _peers.Peer | None:
-        """Choose an untried host that may have a free place.
+    def _choose_possibly_free(self) -> _peers.Peer | None:
+        """Choose an untried host that may have a free slot.
 
-        Whoever is known to be full is not asked: it would say so.
+        Hosts known to be full are skipped: they would refuse.
         """
         peer = self._choose_untried()
         while peer is not None and peer.is_known_full(self._now_s):
             host = peer.row.host
             self.tried.add(host)
-            self.search.note_busy(host, peer.told_wait_ms)
+            self.search.note_busy(host, peer.reported_wait_ms)
             if not self.search.is_on:
                 return None
             peer = self._choose_untried()
         return peer
 
     def _choose_shortest_wait(self) -> _peers.Peer | None:
-        """Choose among the hosts that had no free place."""
+        """Choose among the hosts that had no free slot."""
         for host in self.search.list_by_wait():
             row = self.state.fleet.members.get(host)
             if row is None or row.state is not _messages.TargetState.READY:
@@ -180,47 +181,47 @@
         return None
 
     def _choose_untried(self) -> _peers.Peer | None:
-        """Choose among the hosts that were not asked yet."""
+        """Choose among the hosts that have not been tried."""
         members = self.state.fleet.by_set.get(self.call.target_set, ())
         near, far = _choice.split_candidates(
             members, self.state.identity.data_centre, self.state.rng
         )
         if near and far and not self.was_unreachable:
-            peer = self._choose_near_first(near, far)
+            peer = self._choose_local_first(near, far)
         else:
-            peer = self._choose_drawn(members)
-        if peer is None or not self.sheds:
+            peer = self._choose_sampled(members)
+        if peer is None or not self.shed_refusals:
             return peer
-        # One that is full has told the truth at once; a suspect would keep
-        # the caller waiting for an answer that may never come.
+        # A full target refuses at once; a suspect one would keep the caller
+        # waiting for an answer that may never come.
         return None if peer.is_suspect(self._now_s) else peer
 
-    def _choose_near_first(
+    def _choose_local_first(
         self,
         near: Sequence[_messages.MemberRow],
         far: Sequence[_messages.MemberRow],
     ) -> _peers.Peer | None:
-        """Choose in the own data centre, unless others serve better."""
-        far = self._leave_out_short(far)
+        """Choose in the own data centre, unless a remote one serves better."""
+        far = self._exclude_overloaded(far)
         if not far:
-            return self._choose_of(near)
+            return self._choose_among(near)
         busy = None
-        if self.search.is_on and self.search.asks >= NEAR_ASKS:
+        if self.search.is_on and self.search.probes >= LOCAL_PROBES_LIMIT:
             busy = self._choose_shortest_wait()
         peer = _choice.choose_near_first(
             near, far, self.tried, self.make_costs(), self.state.rng, busy
         )
         if peer is None and busy is None:
             members = self.state.fleet.by_set[self.call.target_set]
-            return self._choose_of(members)
+            return self._choose_among(members)
         return peer
 
-    def _leave_out_short(
+    def _exclude_overloaded(
         self, far: Sequence[_messages.MemberRow]
     ) -> Sequence[_messages.MemberRow]:
-        """Leave out data centres as short of room as the own one.
+        """Exclude remote data centres that are overloaded like the own one.
 
-        Not for calls of targets: their parents hold places until they end.
+        Not for calls of targets: their parent calls hold slots until they end.
         """
         if self.call.urgency is _messages.CallUrgency.TARGET:
             return far
@@ -235,19 +236,19 @@
             if not is_short(self.call.target_set, row.data_centre, now_s)
         ]
 
-    def _choose_drawn(
+    def _choose_sampled(
         self, members: Sequence[_messages.MemberRow]
     ) -> _peers.Peer | None:
-        """Choose among some of a set, wherever they are."""
+        """Choose among a sample of a target set from all data centres."""
         candidates = _choice.draw_candidates(
             members, self.state.identity.data_centre, self.state.rng
         )
-        peer = self._choose_of(candidates)
+        peer = self._choose_among(candidates)
         if peer is None and candidates is not members:
-            return self._choose_of(members)
+            return self._choose_among(members)
         return peer
 
-    def _choose_of(
+    def _choose_among(
         self, members: Sequence[_messages.MemberRow]
     ) -> _peers.Peer | None:
         return _choice.choose_member(
@@ -259,7 +260,7 @@
         )
 
     def make_costs(self) -> _choice.CallCosts:
-        """Make what the call costs, by the time that it has now."""
+        """Make the cost estimator of the call for the time it has left."""
         now_s = self._now_s
         left_ms = self.find_goal_ms(now_s)
         if not left_ms:
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: route, target, attempts, and what is told."""
+"""Handles one request of a caller: routing, attempts and the answer."""
 
 import asyncio
 
@@ -21,43 +21,53 @@
 
 __all__ = ['Exchange']
 
-#: Deadline of a request that states none is that of its route.
+#: Longest timeout that a caller may state. A request that states none has that
+#: of its route.
 MAX_DEADLINE_MS = 3_600_000
-#: Hosts that may name another target, and are asked again with it, or have
-#: none that listens, beyond the usual limit of hosts: such a refusal takes a
-#: round trip of 3 ms.  With four of six targets gone a caller was refused
-#: though two could have served it.
-CORRECTIONS_LIMIT = 8
-#: Gates that may refuse a request before it is given up.
+#: Attempts beyond the hops limit at hosts that name another target, which are
+#: asked again with it, or that have none that listens: such a refusal takes a
+#: round trip of 3 ms. Counting them made requests fail with four of six
+#: targets gone, though two could have served them.
+UNCOUNTED_HOPS_LIMIT = 8
+#: Refusals by load shedding after which a request is given up.
 SHEDS_LIMIT = 2
-#: Most attempts under way that a line names; few routes allow more.
-ATTEMPTS_TOLD_LIMIT = 4
+#: Maximum number of attempts in flight listed in a log line; few routes allow
+#: more.
+LOGGED_ATTEMPTS_LIMIT = 4
 SERVER_ERROR = 500
 #: Kind under which answers of targets are counted by workspace.
 COUNTED_ANSWER = 'answered'
-#: Bounds of the time after which a caller returns whose key may be new: a
-#: daemon that lags behind has the newest version within some 2 s, and the
-#: caller may meet another one before.
-UNSURE_PAUSES_S = (0.3, 1.0)
+#: Bounds of Retry-After for a caller whose key may be new: a daemon that lags
+#: behind has the newest version within about 2 s, and the caller may reach
+#: another daemon before.
+KEY_RETRY_AFTER_S = (0.3, 1.0)
 
 _Outcome = _messages.CallOutcome
 _Reason = _messages.RefusalReason
 
 
-#: Refusals after which a target gets nothing for a while.
+#: Refusals after which a target receives no calls for a while.
 _CLOSING_REASONS = frozenset(
     (_Reason.WRONG_TARGET, _Reason.TARGET_UNKNOWN, _Reason.LEAVING)
 )
-#: Ends of a request by which its target set had no room for it in time.
-_NO_ROOM_CODES = frozenset(
+#: Outcomes that show that the target set had no capacity in time.
+_OVERLOAD_CODES = frozenset(
     (exceptions.Code.REQUEST_SHED, exceptions.Code.REQUEST_LATE)
 )
-#: Refusals by which a target is well, and has no room.
-_FULL_REASONS = frozenset((_Reason.BUSY, _Reason.LINK_FULL, _Reason.SHED))
+#: Refusals by a healthy target without capacity.
+_OVERLOAD_REASONS = frozenset((_Reason.BUSY, _Reason.LINK_FULL, _Reason.SHED))
 
 
 class Exchange:
-    """One request of a caller of this host."""
+    """One request of a caller of this host.
+
+    Parameters
+    ----------
+    request : Request
+        As received.
+    state : RequestState
+        Shared by all requests.
+    """
 
     def __init__(self, request: transport.Request, state: _state.RequestState):
         self.request = request
@@ -75,30 +85,31 @@
         self.goal_s = 0.0
         self.urgency = _messages.CallUrgency.FIRST
         self.is_hasty = False
-        #: Bounds of when it is told to come back, of the time that is left.
-        self.pause_shares = overload.RETRY_AFTER_SHARES
-        #: Whether it ended for want of room at its target set.
-        self.found_no_room = False
-        #: Taken from the quota of the workspace.
+        #: Bounds of Retry-After, as shares of the time that the caller has
+        #: left.
+        self.retry_after_shares = overload.RETRY_AFTER_SHARES
+        #: Whether it ended because its target set was overloaded.
+        self.ended_overloaded = False
+        #: Token taken from the quota of the workspace.
         self.token: quota.Permit | None = None
-        self.caller_left_ms = 0
-        #: From when its target set is asked.
+        self.stated_timeout_ms = 0
+        #: Set once attempts begin.
         self.chooser: _chooser.TargetChooser | None = None
         self.arrivals = 0
         self.may_have_run = False
         self.attempts: list[_attempt.Attempt] = []
-        #: Done when any of them has news.
-        self._news: asyncio.Future = self.loop.create_future()
+        #: Done when any attempt has ended or is silent.
+        self._update: asyncio.Future = self.loop.create_future()
         self.last: _messages.CallAnswer | None = None
-        #: Who asks; nobody where the bundle asks for no keys.
+        #: Identity of the caller; `NOBODY` when the bundle requires no keys.
         self.identity = access.NOBODY
-        #: Known from when it is known who asks.
+        #: Crash evidence against the request; set once the caller is known.
         self.standing: _standing.KnownRequest | None = None
         self.answered: _messages.CallAnswer | None = None
         self.answered_by = base.HostId('')
 
     async def run(self) -> transport.Response:
-        """Answer the request."""
+        """Handle the request and return the answer to the caller."""
         await self.state.start.wait()
         snapshot = self.state.config.snapshot
         if snapshot is None:
@@ -129,25 +140,25 @@
             self._set_times()
         except ValueError:
             return self._refuse(exceptions.Code.REQUEST_MALFORMED)
-        if self.state.serving.would_break_off(self.deadline_s):
-            # A body that came slowly, or a request sent ahead.
+        if self.state.serving.would_cut_off(self.deadline_s):
+            # The body arrived slowly, or the request was pipelined.
             return self._refuse(exceptions.Code.REQUEST_LEAVING)
         if self.standing.is_quarantined:
             return self._refuse(exceptions.Code.REQUEST_QUARANTINED)
         if not await self._take_token():
             return self._refuse(exceptions.Code.REQUEST_QUOTA)
-        asked = self._make_asked()
-        verdict = self.state.levels.judge(asked, self._now_s)
+        admission_call = self._make_admission_call()
+        verdict = self.state.levels.judge(admission_call, self._now_s)
         if not verdict.is_admitted:
             return self._reject(verdict)
         begun_s = self._now_s
         response = await self._serve()
-        if self.found_no_room:
-            self.state.levels.note_refused(asked, begun_s)
+        if self.ended_overloaded:
+            self.state.levels.note_refused(admission_call, begun_s)
         return response
 
     async def _serve(self) -> transport.Response:
-        """Ask targets for as long as the request has time."""
+        """Make attempts until the request is answered or out of time."""
         self.chooser = self._make_chooser()
         limit = self.state.serving.limit(self.deadline_s)
         try:
@@ -156,13 +167,13 @@
         except TimeoutError:
             if self.attempts:
                 return self._refuse(exceptions.Code.REQUEST_LATE)
-            return self._refuse_after()
+            return self._refuse_after_attempts()
         finally:
             self.state.serving.forget(limit)
 
     def _make_chooser(self) -> _chooser.TargetChooser:
-        """Make what chooses where the request goes."""
-        call = _chooser.ChosenCall(
+        """Make the chooser of the targets of this request."""
+        call = _chooser.CallParameters(
             self.target_set,
             self.route.name,
             len(self.request.body),
@@ -170,13 +181,13 @@
             self.deadline_s,
             self.goal_s,
         )
-        search = _search.Search(
-            self.state.places, call.target_set, call.body_bytes
+        search = _search.FreeSlotSearch(
+            self.state.search_stats, call.target_set, call.body_bytes
         )
         return _chooser.TargetChooser(self.state, call, self.standing, search)
 
-    def _make_asked(self) -> overload.AskedCall:
-        """Make what decides whether its target set has room for it."""
+    def _make_admission_call(self) -> overload.AskedCall:
+        """Make the input of the admission decision for the target set."""
         return overload.AskedCall(
             self.target_set,
             self.request_id,
@@ -189,8 +200,8 @@
         )
 
     def _reject(self, verdict: overload.Verdict) -> transport.Response:
-        """Refuse at once what its target set cannot serve."""
-        self.pause_shares = overload.REJECTED_AFTER_SHARES
+        """Refuse a request that its target set has no capacity for."""
+        self.retry_after_shares = overload.REJECTED_AFTER_SHARES
         code = exceptions.Code.REQUEST_SHED
         self.state.decisions.log_rejection(
             self.request_id,
@@ -204,10 +215,10 @@
         return self._make_refusal(code)
 
     def _identify(self, snapshot: bundles.Snapshot) -> None:
-        """Find out who asks, and take the key off the request.
+        """Authenticate the caller, and remove the key from the request.
 
-        The key ends here: neither other daemons nor targets need it, and what
-        they were to log or keep would hold it.
+        The key is not forwarded: neither other daemons nor targets need it,
+        and it must not get into their logs or stores.
         """
         request = self.request
         names = self.state.names
@@ -229,17 +240,17 @@
         request.workspace = self.identity.workspace
 
     def _find_stated_ms(self) -> int:
-        """Return for how long the caller says that it waits."""
+        """Return the timeout that the caller states, or that of the policy."""
         text = self.request.find(self.state.names.deadline_ms.lower())
         return self.policy.timeout_ms if text is None else _parse_ms(text)
 
     def _set_times(self) -> None:
-        """Set deadline and goal from the head of the request."""
+        """Set deadline and goal from the request head."""
         timeout_ms = self.policy.timeout_ms
         stated_ms = self._find_stated_ms()
         started_s = self.request.received_s
         self.deadline_s = started_s + min(timeout_ms, stated_ms) / 1000
-        self.caller_left_ms = stated_ms
+        self.stated_timeout_ms = stated_ms
         origin = self.state.callers.note_call(
             self.route.name,
             stated_ms,
@@ -252,7 +263,7 @@
         self.goal_s = started_s + (goal_ms - origin.waited_ms) / 1000
 
     async def _take_token(self) -> bool:
-        """Take a token of the workspace; say whether it may go on."""
+        """Take a quota token of the workspace; return whether one was free."""
         quotas = self.state.quotas
         workspace = self.identity.workspace
         if not quotas.is_counted(workspace):
@@ -268,34 +279,34 @@
         return self.loop.time()
 
     async def _attempt_all(self) -> transport.Response:
-        """Ask targets until one answers."""
+        """Make attempts, and cancel those in flight at the end."""
         try:
-            return await self._drive()
+            return await self._run_attempts()
         finally:
             for attempt in self.attempts:
                 attempt.task.cancel()
 
-    async def _drive(self) -> transport.Response:
-        """Start attempts as they are needed, and take their answers in."""
+    async def _run_attempts(self) -> transport.Response:
+        """Start attempts and process their answers until one is final."""
         peer = self.chooser.choose()
         while True:
             if peer is not None:
                 self._start(peer)
             if not self.attempts:
-                return self._refuse_after()
+                return self._refuse_after_attempts()
             answer = await self._wait()
             if answer is None:
-                # The silent ones go on: their answers may come yet.
-                peer = self._choose_repeat(True)
+                # Silent attempts continue: their answers may still arrive.
+                peer = self._choose_retry(True)
                 continue
             self.last = answer
             if self._is_final(answer):
-                return self._pass_on(answer)
+                return self._forward(answer)
             peer = self._choose_next(answer)
 
     def _start(self, peer: _peers.Peer) -> None:
         """Start an attempt at a target."""
-        if not self.chooser.asked:
+        if not self.chooser.asked_hosts:
             self.state.budget.note_request(self.target_set, self._now_s)
         self.chooser.note_asked(peer.row.host)
         progress = _progress.AttemptProgress(peer.row.host, self._now_s)
@@ -306,17 +317,17 @@
         attempt = _attempt.Attempt(peer, sent, progress)
         attempt.started_s = self._now_s
         attempt.expected_ms = expected_ms
-        attempt.task.add_done_callback(self._note_news)
+        attempt.task.add_done_callback(self._note_update)
         if self.route.repeatable:
             attempt.watch_silence()
-            attempt.silence.add_done_callback(self._note_news)
+            attempt.silence.add_done_callback(self._note_update)
         self.attempts.append(attempt)
 
     async def _wait(self) -> _messages.CallAnswer | None:
         """Wait for an answer; None when a target or daemon is silent."""
-        while not any(attempt.has_news for attempt in self.attempts):
-            self._news = self.loop.create_future()
-            await self._news
+        while not any(attempt.has_update for attempt in self.attempts):
+            self._update = self.loop.create_future()
+            await self._update
         for attempt in self.attempts:
             if attempt.task.done():
                 self.attempts.remove(attempt)
@@ -328,35 +339,35 @@
         for attempt in self.attempts:
             if attempt.is_silent:
                 attempt.watch_silence()
-                attempt.silence.add_done_callback(self._note_news)
-        self._forget_sheds()
+                attempt.silence.add_done_callback(self._note_update)
+        self._reset_sheds()
         return None
 
     def _note_end_time(
         self, attempt: _attempt.Attempt, answer: _messages.CallAnswer
     ) -> None:
-        """Learn how far off the estimate of an answered call was."""
+        """Record the actual against the estimated duration of a call."""
         if answer.outcome is _Outcome.ANSWERED:
             elapsed_ms = (self._now_s - attempt.started_s) * 1000
             self.state.peers.end_times.note(
                 self.route.name, attempt.expected_ms, elapsed_ms
             )
 
-    def _forget_sheds(self) -> None:
-        """Let gates be asked again that were full before a long silence."""
-        self.chooser.sheds = 0
+    def _reset_sheds(self) -> None:
+        """Allow hosts that shed the request before a long silence again."""
+        self.chooser.shed_refusals = 0
         self.chooser.tried = {
             attempt.peer.row.host for attempt in self.attempts
         }
 
-    def _note_news(self, _future: asyncio.Future) -> None:
-        """Wake up: an attempt has ended, or is silent for too long."""
-        if not self._news.done():
-            self._news.set_result(None)
+    def _note_update(self, _future: asyncio.Future) -> None:
+        """Wake the waiting request: an attempt has ended or is silent."""
+        if not self._update.done():
+            self._update.set_result(None)
 
     def _make_call(self, row: _messages.MemberRow) -> _messages.TargetCall:
         now_s = self._now_s
-        # Work that ends after this daemon would be done for nobody.
+        # Results after the end of this daemon would reach nobody.
         deadline_s = min(self.deadline_s, self.state.serving.end_s)
         call = _messages.TargetCall(
             request=self.request,
@@ -379,13 +390,13 @@
         return call
 
     def _learn(self, peer: _peers.Peer, answer: _messages.CallAnswer) -> None:
-        """Remember what an answer tells of its target."""
+        """Update the state of the target and the request by an answer."""
         if answer.load is not None:
             self._learn_demand(peer, answer.load.demand_percent)
         if answer.reason is _Reason.BUSY:
             if peer is self.chooser.exposed:
                 self.state.exposure.note_exposed(self.target_set, -1)
-            self.chooser.busy_answers += 1
+            self.chooser.busy_refusals += 1
             self.chooser.search.note_busy(peer.row.host, answer.retry_after_ms)
             self.state.decisions.count_attempt(answer.reason)
             return
@@ -405,25 +416,25 @@
             )
             self.answered = answer
             self.answered_by = peer.row.host
-        if answer.member is not None and self._may_ask_again(peer, answer):
-            self.chooser.corrections += 1
+        if answer.member is not None and self._may_retry_host(peer, answer):
+            self.chooser.uncounted_hops += 1
             self.chooser.tried.discard(peer.row.host)
         elif answer.reason in _CLOSING_REASONS:
             peer.close(self._now_s, answer.reason)
             if answer.reason is _Reason.TARGET_UNKNOWN:
-                self.chooser.corrections += (
-                    self.chooser.corrections < CORRECTIONS_LIMIT
+                self.chooser.uncounted_hops += (
+                    self.chooser.uncounted_hops < UNCOUNTED_HOPS_LIMIT
                 )
         elif answer.reason is _Reason.SUSPECTED:
-            # It may be the place where the request may run.
+            # This may be the target where the request may run.
             self.chooser.tried.discard(peer.row.host)
         elif answer.reason is _Reason.CONNECTION_LOST and answer.crashes:
-            # Its target has ended; its row tells so a moment later.
+            # Its target has ended; the row shows that a moment later.
             peer.close(self._now_s, _Reason.TARGET_UNKNOWN)
         elif answer.reason is _Reason.UNREACHABLE:
             self.chooser.was_unreachable = True
-        elif answer.reason in _FULL_REASONS:
-            self.chooser.sheds += answer.reason is _Reason.SHED
+        elif answer.reason in _OVERLOAD_REASONS:
+            self.chooser.shed_refusals += answer.reason is _Reason.SHED
             peer.shed_until_s = self._now_s + answer.retry_after_ms / 2000
         if answer.outcome is not _Outcome.ANSWERED:
             self.state.decisions.log_attempt(
@@ -432,29 +443,29 @@
                 self.target_set,
                 peer.row,
                 answer,
-                self._find_lost(),
+                self._find_logged_fingerprint(),
             )
 
     def _learn_demand(self, peer: _peers.Peer, demand_percent: int) -> None:
-        """Remember what a gate tells of the demand on it."""
+        """Record the demand that a target reports."""
         now_s = self._now_s
         self.state.levels.take_demand(self.target_set, demand_percent, now_s)
         self.state.centres.note(
             self.target_set, peer.row.data_centre, demand_percent, now_s
         )
 
-    def _find_lost(self) -> base.Fingerprint | None:
-        """Return what tells repeats of a request that may have run."""
+    def _find_logged_fingerprint(self) -> base.Fingerprint | None:
+        """Return the fingerprint of a request that may have run, for logs."""
         return self.standing.make_fingerprint() if self.may_have_run else None
 
-    def _may_ask_again(
+    def _may_retry_host(
         self, peer: _peers.Peer, answer: _messages.CallAnswer
     ) -> bool:
-        """Believe a host about its target; say whether to ask it again."""
-        told = answer.member
-        self.state.take_told(told)
-        is_other = told.lifetime != peer.row.lifetime
-        return is_other and self.chooser.corrections < CORRECTIONS_LIMIT
+        """Apply a host's row of its target; return whether to ask it again."""
+        member = answer.member
+        self.state.take_told(member)
+        is_other = member.lifetime != peer.row.lifetime
+        return is_other and self.chooser.uncounted_hops < UNCOUNTED_HOPS_LIMIT
 
     def _is_final(self, answer: _messages.CallAnswer) -> bool:
         """Whether the answer goes to the caller as it is."""
@@ -462,52 +473,56 @@
             return False
         if answer.response.status < SERVER_ERROR or not self.route.repeatable:
             return True
-        # A failure of the target's own may pass at another one.
-        return not self.attempts and not self._may_send_again()
+        # A server error may be specific to the target.
+        return not self.attempts and not self._may_retry()
 
     def _choose_next(self, answer: _messages.CallAnswer) -> _peers.Peer | None:
-        """Choose where to go on after an answer that is not final."""
+        """Choose the next target after an answer that is not final."""
         if self.standing.is_quarantined:
             return None
         is_not_run = answer.outcome is _Outcome.NOT_RUN
         if is_not_run and not answer.reached_target:
-            # Nothing arrived at a target: neither attempts nor the
-            # retry budget are touched.
+            # Nothing reached a target: neither attempts nor the retry budget
+            # are charged.
             return (
                 self.chooser.choose()
-                if self.chooser.sheds < SHEDS_LIMIT
+                if self.chooser.shed_refusals < SHEDS_LIMIT
                 else None
             )
         if is_not_run or self.route.repeatable:
-            return self._choose_repeat(not is_not_run)
+            return self._choose_retry(not is_not_run)
         return None
 
-    def _choose_repeat(self, has_run: bool) -> _peers.Peer | None:
-        """Choose where to send again, if that is allowed, and pay for it."""
-        if not self._may_send_again():
+    def _choose_retry(self, has_run: bool) -> _peers.Peer | None:
+        """Choose the target of a retry within attempts and retry budget."""
+        if not self._may_retry():
             return None
         peer = self.chooser.choose()
-        if peer is None or not self._spend(has_run):
+        if peer is None or not self._spend_retry(has_run):
             return None
         return peer
 
-    def _may_send_again(self) -> bool:
+    def _may_retry(self) -> bool:
         under_way = len(self.attempts)
         return self.arrivals + under_way < self.policy.attempts
 
-    def _spend(self, has_run: bool) -> bool:
-        """Spend a retry; what has run repeats the calls that it made."""
+    def _spend_retry(self, has_run: bool) -> bool:
+        """Take a retry from the budget; return whether it allows one.
+
+        A rerun is limited to a smaller share, since it repeats the calls that
+        the request made.
+        """
         limits = self.state.mesh_settings
         share = 1.0
         if has_run:
-            # With no retries at all, both shares are of nothing.
+            # Without any retries, both shares are zero.
             whole_percent = max(1, limits.retry_share_percent)
             share = min(1.0, limits.rerun_share_percent / whole_percent)
         return self.state.budget.take(self.target_set, self._now_s, share)
 
-    # What the caller is told.
+    # Answers to the caller.
 
-    def _pass_on(self, answer: _messages.CallAnswer) -> transport.Response:
+    def _forward(self, answer: _messages.CallAnswer) -> transport.Response:
         response = answer.response
         self.state.workspace_counts.count(
             self.identity.workspace, COUNTED_ANSWER
@@ -526,28 +541,28 @@
             response.status, headers, response.body, response.reason
         )
 
-    def _refuse_after(self) -> transport.Response:
-        """Tell what is known after the last attempt."""
+    def _refuse_after_attempts(self) -> transport.Response:
+        """Make the answer to a request whose attempts are exhausted."""
         if self.answered is not None:
-            return self._pass_on(self.answered)
+            return self._forward(self.answered)
         if self.may_have_run:
             return self._refuse(exceptions.Code.REQUEST_UNKNOWN)
         if self.standing.is_quarantined:
             return self._refuse(exceptions.Code.REQUEST_QUARANTINED)
         if self.last is None:
             return self._refuse(exceptions.Code.REQUEST_NO_TARGET)
-        if self.last.reason in _FULL_REASONS:
+        if self.last.reason in _OVERLOAD_REASONS:
             return self._refuse(exceptions.Code.REQUEST_SHED)
         return self._refuse(exceptions.Code.REQUEST_NOT_RUN)
 
     def _refuse(self, code: exceptions.Code) -> transport.Response:
-        self.found_no_room = code in _NO_ROOM_CODES
+        self.ended_overloaded = code in _OVERLOAD_CODES
         self.state.decisions.log_refusal(
             self.request_id,
             int(code),
             self.route.name if self.route else _messages.NO_ROUTE,
             self.target_set,
-            tuple(self.chooser.asked) if self.chooser else (),
+            tuple(self.chooser.asked_hosts) if self.chooser else (),
             self.describe_attempts(),
             self.last,
             self._elapsed_ms(),
@@ -567,35 +582,35 @@
             code,
             self.state.names.request_id,
             self.request_id,
-            self._find_pause_s(code),
+            self._find_retry_after_s(code),
             self.state.names.key_scheme,
         )
 
     def describe(self) -> str:
-        """Say for how long it has been under way, and what it waits for."""
+        """Describe the age of the request and its attempts in flight."""
         attempts = '; '.join(self.describe_attempts()) or 'no attempt'
         return f'{self._elapsed_ms()} ms, {attempts}'
 
     def describe_attempts(self) -> list[str]:
-        """Say of each attempt under way where it is."""
+        """Describe the progress of each attempt in flight."""
         now_s = self._now_s
         return [
             attempt.progress.describe(now_s)
-            for attempt in self.attempts[:ATTEMPTS_TOLD_LIMIT]
+            for attempt in self.attempts[:LOGGED_ATTEMPTS_LIMIT]
         ]
 
-    def _find_pause_s(self, code: exceptions.Code) -> float:
-        """Return when a refused caller should come back."""
+    def _find_retry_after_s(self, code: exceptions.Code) -> float:
+        """Return the time after which a refused caller should retry."""
         if code is exceptions.Code.REQUEST_QUARANTINED:
-            # Sooner it would only be refused again.
+            # An earlier retry would only be refused again.
             return self.standing.find_wait_s()
         if code is exceptions.Code.REQUEST_KEY_UNSURE:
-            return self.state.rng.uniform(*UNSURE_PAUSES_S)
+            return self.state.rng.uniform(*KEY_RETRY_AFTER_S)
         if code is exceptions.Code.REQUEST_QUOTA:
             return self.state.quotas.find_pause_s(self.identity.workspace)
         limits = self.state.mesh_settings
-        left_ms = self.caller_left_ms - self._elapsed_ms()
-        share = self.state.rng.uniform(*self.pause_shares)
+        left_ms = self.stated_timeout_ms - self._elapsed_ms()
+        share = self.state.rng.uniform(*self.retry_after_shares)
         pause_ms = max(limits.least_retry_after_ms, share * left_ms)
         return min(pause_ms, limits.longest_retry_after_ms) / 1000
 
@@ -604,12 +619,14 @@
 
 
 def _parse_ms(text: str) -> int:
-    """Read a stated time: digits only, as other readers would take it.
+    """Parse a stated timeout in milliseconds.
+
+    Only ASCII digits are accepted, so that all readers parse the same value.
 
     Raises
     ------
     ValueError
-        When it is anything else, or beyond all reason.
+        When it is anything else, or above `MAX_DEADLINE_MS`.
     """
     if not (text.isascii() and text.isdigit()):
         raise ValueError(text)
--- a/sedgering/mesh/_hop.py
+++ b/sedgering/mesh/_hop.py
@@ -1,6 +1,6 @@
-"""Calls between daemons: our own header fields over HTTP/1.1.
+"""Encodes calls between daemons as internal header fields over HTTP/1.1.
 
-Fields that start with the prefix belong to the daemons; they are removed
+Header fields with the internal prefix belong to the daemons; they are removed
 from what callers and targets send.
 """
 
@@ -22,49 +22,48 @@
     'encode_ping',
     'is_call',
     'is_ping',
-    'strip_own',
+    'strip_internal',
 ]
 
 PREFIX = 'sedgering-'
 CALL = 'sedgering-call'
 OUTCOME = 'sedgering-outcome'
 LOAD = 'sedgering-load'
-#: Apart from the load, which daemons of the version before read by its
-#: exact number of fields.
+#: A field of its own: daemons of the previous version accept the load field
+#: only with its exact number of values.
 NESTED = 'sedgering-nested'
-#: Apart for the same reason.
+#: A field of its own for the same reason.
 ANSWER_WAIT = 'sedgering-answer-wait'
-#: Share of calls that its target failed; left out where it is zero.
+#: Percentage of calls that the target failed; omitted when zero.
 FAILED = 'sedgering-failed'
-#: How long work takes at the moment, and what is asked of the gate; left out
-#: where it is not known.
+#: Current slowness and demand at the target; omitted when unknown.
 SLOWNESS = 'sedgering-slowness'
 DEMAND = 'sedgering-demand'
-#: The workspace that asks and its priority, where there is one.
+#: The workspace of the request and its priority, if any.
 WORKSPACE = 'sedgering-workspace'
-#: The row that holds, with a refusal of a call to another target.
+#: The current row of the host, sent when a call to another target is refused.
 MEMBER = 'sedgering-member'
 PING = 'sedgering-ping'
-#: Set where a call is only to have a free place.
+#: Set when a call may only run if a slot is free.
 FREE_PLACE = 'sedgering-free-place'
-#: Set where a call may run although targets have ended under it.
+#: Set when a call may run although targets have crashed while running it.
 TRIAL = 'sedgering-trial'
-#: Ends of targets under a request: those that speak no more against it, and
-#: those that do, in calls and in answers.
+#: Crashes of targets while running a request: those that no longer count
+#: against it, and those that do, in calls and in answers.
 FORGIVEN = 'sedgering-forgiven'
 CRASHES = 'sedgering-crashes'
-#: The reason, where daemons of the version before do not know it.
+#: The actual reason, when daemons of the previous version do not know it.
 REASON = 'sedgering-reason'
 SEPARATOR = '|'
-#: Between the ids of ends, which hold no spaces.
+#: Separates crash ids, which contain no spaces.
 ID_SEPARATOR = ' '
-#: Before the id of an end under which a request ran as a suspect.
-TRIAL_MARK = 'trial:'
-#: Numbers of the load field.
+#: Prefix of the id of a crash during a trial run of a suspect request.
+TRIAL_PREFIX = 'trial:'
+#: Number of values of the load field.
 LOAD_FIELDS = 6
-#: Reasons that daemons of the version before read as a call that came to
-#: nothing, and that may be sent elsewhere.
-_NEW_REASONS = frozenset(
+#: Reasons unknown to daemons of the previous version. They are sent as a shed
+#: call, which has not run and may be sent elsewhere.
+_EXTENDED_REASONS = frozenset(
     (
         _messages.RefusalReason.SUSPECTED,
         _messages.RefusalReason.QUARANTINED,
@@ -73,21 +72,21 @@
 
 
 class HopError(Exception):
-    """A message between daemons that cannot be read."""
+    """A message between daemons cannot be decoded."""
 
 
-def strip_own(headers: transport.Headers) -> transport.Headers:
-    """Remove the fields that belong to the daemons."""
+def strip_internal(headers: transport.Headers) -> transport.Headers:
+    """Remove the internal header fields."""
     return [item for item in headers if not item[0].lower().startswith(PREFIX)]
 
 
 def _strip(headers: transport.Headers) -> transport.Headers:
-    """Remove the daemons' own fields, and those of one connection only."""
+    """Remove the internal and the hop-by-hop header fields."""
     return transport.strip_hop_headers(headers, prefix=PREFIX)
 
 
 def encode_call(call: _messages.TargetCall) -> bytes:
-    """Encode a call for the daemon beside its target."""
+    """Encode a call for the daemon of its target."""
     request = call.request
     fields = (
         call.request_id,
@@ -109,7 +108,7 @@
     if call.is_trial:
         headers.append((TRIAL, '1'))
     if call.crashes:
-        headers.append((CRASHES, _encode_evidence(call.crashes)))
+        headers.append((CRASHES, _encode_crashes(call.crashes)))
     if call.forgiven:
         headers.append((FORGIVEN, ID_SEPARATOR.join(call.forgiven)))
     if call.workspace:
@@ -124,7 +123,7 @@
     Raises
     ------
     HopError
-        When it does not come from a daemon.
+        When the request is not a valid call of a daemon.
     """
     value = request.find(CALL)
     fields = (value or '').split(SEPARATOR)
@@ -136,12 +135,12 @@
         )
         workspace, workspace_priority = _decode_workspace(request)
     except ValueError as error:
-        raise HopError(f'call: {value!r}') from error
+        raise HopError(f'invalid call: {value!r}') from error
     may_wait = request.find(FREE_PLACE) is None
     is_trial = request.find(TRIAL) is not None
-    crashes = _decode_evidence(request.find(CRASHES))
+    crashes = _decode_crashes(request.find(CRASHES))
     forgiven = _split_ids(request.find(FORGIVEN))
-    request.headers = strip_own(request.headers)
+    request.headers = strip_internal(request.headers)
     request.workspace = workspace
     return _messages.TargetCall(
         request=request,
@@ -179,47 +178,47 @@
     return tuple(map(_crash_records.CrashId, (value or '').split()))
 
 
-def _encode_evidence(crashes: Iterable[_crash_records.CrashEvidence]) -> str:
+def _encode_crashes(crashes: Iterable[_crash_records.CrashEvidence]) -> str:
     return ID_SEPARATOR.join(
-        f'{TRIAL_MARK if item.was_trial else ""}{item.crash}'
+        f'{TRIAL_PREFIX if item.was_trial else ""}{item.crash}'
         for item in crashes
     )
 
 
-def _decode_evidence(
+def _decode_crashes(
     value: str | None,
 ) -> tuple[_crash_records.CrashEvidence, ...]:
     return tuple(
         _crash_records.CrashEvidence(
-            _crash_records.CrashId(text.removeprefix(TRIAL_MARK)),
-            text.startswith(TRIAL_MARK),
+            _crash_records.CrashId(text.removeprefix(TRIAL_PREFIX)),
+            text.startswith(TRIAL_PREFIX),
         )
         for text in _split_ids(value)
     )
 
 
 def encode_ping() -> bytes:
-    """Encode a request that only asks whether a daemon lives."""
+    """Encode a request that only checks that a daemon is alive."""
     headers = [('Host', 'peer'), (PING, '1')]
     return transport.encode_request(transport.Request('GET', '/', headers))
 
 
 def is_ping(request: transport.Request) -> bool:
-    """Say whether a daemon only asks whether this one lives."""
+    """Whether the request only checks that this daemon is alive."""
     return request.find(PING) is not None
 
 
 def is_call(request: transport.Request) -> bool:
-    """Say whether a daemon sends a call to the target."""
+    """Whether the request is a call of a daemon to the local target."""
     return request.find(CALL) is not None
 
 
 def encode_answer(answer: _messages.CallAnswer) -> transport.Response:
-    """Make the response that tells a daemon how a call ended."""
+    """Encode the result of a call for the daemon that sent it."""
     response = answer.response or transport.Response(503, [])
     headers = _strip(response.headers)
     reason = answer.reason
-    if reason in _NEW_REASONS:
+    if reason in _EXTENDED_REASONS:
         headers.append((REASON, reason.value))
         reason = _messages.RefusalReason.SHED
     outcome = (
@@ -245,7 +244,7 @@
         if load.demand_percent:
             headers.append((DEMAND, str(load.demand_percent)))
     if answer.crashes:
-        headers.append((CRASHES, _encode_evidence(answer.crashes)))
+        headers.append((CRASHES, _encode_crashes(answer.crashes)))
     if answer.member is not None:
         encoded = msgspec.json.encode(answer.member)
         headers.append((MEMBER, encoded.decode('latin-1')))
@@ -260,7 +259,7 @@
     Raises
     ------
     HopError
-        When it does not come from a daemon.
+        When the response is not a valid answer of a daemon.
     """
     value = response.find(OUTCOME)
     fields = (value or '').split(SEPARATOR, 4)
@@ -272,7 +271,7 @@
         load = _decode_load(response)
         member = _decode_member(response)
     except (ValueError, IndexError, msgspec.MsgspecError) as error:
-        raise HopError(f'answer: {value!r}') from error
+        raise HopError(f'invalid answer: {value!r}') from error
     answer = _messages.CallAnswer(
         outcome,
         None,
@@ -282,10 +281,10 @@
         reached,
         member,
         detail,
-        _decode_evidence(response.find(CRASHES)),
+        _decode_crashes(response.find(CRASHES)),
     )
     if outcome is _messages.CallOutcome.ANSWERED:
-        response.headers = strip_own(response.headers)
+        response.headers = strip_internal(response.headers)
         answer.response = response
     return answer
 
--- a/sedgering/mesh/_outbound.py
+++ b/sedgering/mesh/_outbound.py
@@ -16,18 +16,18 @@
     state : RequestState
         Shared by all requests.
     pause : PauseWatch
-        Tells how late a request is read.
+        Measures by how much the reading of requests lags.
     """
 
     def __init__(self, state: _state.RequestState, pause: _pause.PauseWatch):
         super().__init__()
         self.state = state
         self.pause = pause
-        #: Requests that have no answer yet.
+        #: Requests without an answer yet.
         self.under_way: set[_exchange.Exchange] = set()
 
     def find_limits(self) -> transport.CallerLimits:
-        """Return the limits that the operator set."""
+        """Return the caller limits set by the operator."""
         return self.state.config.limits
 
     async def answer(self, request: transport.Request) -> transport.Response:
--- a/sedgering/mesh/_peers.py
+++ b/sedgering/mesh/_peers.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of other daemons: load, failures, connections."""
+"""Tracks the load, failures and connections of other daemons."""
 
 import asyncio
 from collections.abc import Collection
@@ -15,49 +15,49 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Idle connections kept to one peer; more than run there at a time are
-#: never needed.
+#: Maximum number of idle connections kept to one peer; no more are ever in use
+#: at a time.
 IDLE_CONNECTIONS = 32
-#: For how long a target gets nothing after a refusal as leaving or gone:
-#: about as long as its row takes to change everywhere.
-CLOSED_MS = 2000
-#: The same when its daemon has just started and does not know it yet.
-UNKNOWN_TARGET_MS = 200
-#: For how long a peer gets nothing whose host answers that nobody listens:
-#: its daemon is starting again, which takes some 0.3 s, or is gone, and its
-#: row with it.  Asking costs a round trip of 3 ms.
-REFUSED_MS = 150
-#: A peer that was heard so recently is not suspected because a new connection
-#: did not come about: its host lives, and the connections that are open work.
-HEARD_RECENTLY_S = 0.5
-#: Share of the allowed silence after which a daemon is asked whether it
-#: lives: a round trip takes 3 ms, and a busy link adds some 200 ms.
-ASK_SHARE = 0.4
-#: Longest wait for its answer; the daemon is given up before.
+#: Pause after a target has refused as leaving or gone: about the time that its
+#: row takes to change on all hosts.
+CLOSED_PAUSE_MS = 2000
+#: The same when its daemon has just started and does not know its target yet.
+UNKNOWN_TARGET_PAUSE_MS = 200
+#: Pause after a host has refused a connection: its daemon is restarting, which
+#: takes about 0.3 s, or is gone, and its row with it. A further attempt costs
+#: a round trip of 3 ms.
+CONNECTION_REFUSED_PAUSE_MS = 150
+#: A peer that answered this recently is not suspected when a new connection
+#: fails: its host is alive, and open connections work.
+RECENT_RESPONSE_S = 0.5
+#: Share of the allowed silence after which a daemon is pinged: a round trip
+#: takes 3 ms, and a busy link adds about 200 ms.
+PING_SILENCE_SHARE = 0.4
+#: Longest wait for the answer to a ping; the daemon is marked as failed
+#: before.
 ASK_TIMEOUT_S = 1.0
-#: A target that answers nothing for so many of its work times is taken as
-#: hung: work is spread, and one call in a hundred takes three to five times
+#: A target that answers nothing for this many of its work times counts as
+#: hung: work times vary, and one call in a hundred takes three to five times
 #: as long as usual.
-LATE_WORKS = 4
-#: Work time assumed of a target that has told nothing yet.
-UNKNOWN_WORK_MS = 100
-#: Age at which the work time that a target told counts half: slow and grey
-#: targets stay so for some seconds.
+HUNG_WORK_TIMES = 4
+#: Work time assumed for a target that has reported nothing yet.
+DEFAULT_WORK_MS = 100
+#: Half-life of a reported work time: slow and partly failing targets stay so
+#: for some seconds.
 WORK_HALF_LIFE_MS = 3000
-#: The same for the share of its link that is used: a burst lasts a few
-#: seconds.
+#: Half-life of a reported link utilisation: a burst lasts a few seconds.
 LINK_HALF_LIFE_MS = 2000
-#: For how long a queue that a target told of is taken to be there still: with
-#: a dozen places one gets shorter by a call each 5 to 10 ms.  In a small fleet
-#: that is short of places, three of four questions for a free place went to
-#: targets that had just told of a queue.
-KNOWN_FULL_S = 0.04
-#: How much longer work takes at a target that has just started.
-COLD_COST = 2.0
-#: Weight of the newest answer in the work time and the size of answers of a
-#: route over all targets.
+#: Time for which a reported queue is taken to exist still: with a dozen slots
+#: it gets shorter by a call each 5 to 10 ms. Without this, in a small fleet
+#: that is short of slots, three of four probes for a free slot went to targets
+#: that had just reported a queue.
+QUEUE_REPORT_VALID_S = 0.04
+#: Factor on the work time at a target that has just started.
+COLD_WORK_FACTOR = 2.0
+#: Weight of the newest answer in the mean work time and answer size of a route
+#: over all targets.
 TYPICAL_WEIGHT = 0.05
-#: Weight of the newest report in the calls that are there on average.
+#: Weight of the newest report in the mean number of calls present.
 USUAL_WEIGHT = 0.2
 
 
@@ -84,21 +84,21 @@
         self.in_flight = 0
         #: Of these, calls of targets.
         self.in_flight_nested = 0
-        #: When its daemon answered anything, and when its target did.
+        #: When its daemon last answered anything, and when its target did.
         self.heard_s = 0.0
         self.answered_s = 0.0
         self.busy_since_s = 0.0
-        self.is_asked_for_life = False
-        self._silences: set[asyncio.Future] = set()
+        self.is_ping_pending = False
+        self._silence_waiters: set[asyncio.Future] = set()
         self.report: _messages.LoadReport | None = None
-        #: Work time of each route, and when it was told.
+        #: Reported work time by route, and when it was reported.
         self._route_work: dict[base.RouteName, tuple[int, float]] = {}
         self._cold_until_s = 0.0
-        self._moment = balance.MomentSpeed()
-        #: Calls of others that were there on average, and those of them that
-        #: go before a call of a target.
-        self._usual_present = 0.0
-        self._usual_nested = 0.0
+        self._speed = balance.MomentSpeed()
+        #: Mean number of calls of other daemons at the target, and of those
+        #: among them that go before a call of a target.
+        self._mean_present = 0.0
+        self._mean_nested = 0.0
         self.report_in_flight = 0
         self.report_in_flight_nested = 0
         self.reported_s = 0.0
@@ -111,50 +111,52 @@
 
     @property
     def limit(self) -> int:
-        """Most calls at a time at the target."""
+        """Concurrency limit of the target."""
         return self.report.limit if self.report else max(1, self.row.slots)
 
     @property
     def work_ms(self) -> float:
-        """Recent mean time at the target."""
-        return self.report.work_ms if self.report else UNKNOWN_WORK_MS
+        """Recent mean work time of the target."""
+        return self.report.work_ms if self.report else DEFAULT_WORK_MS
 
     def find_slowness(self, now_s: float) -> float:
-        """Return how many times as long as usual work takes there now."""
-        if not self._moment.is_known:
+        """Return the current work time relative to the usual one."""
+        if not self._speed.is_known:
             return 1.0
-        return self._moment.find_percent(now_s) / 100
+        return self._speed.find_percent(now_s) / 100
 
     def estimate_work_ms(
         self, route: base.RouteName, typical_ms: float, now_s: float
     ) -> float:
         """Estimate the work time of a route at the target.
 
-        What was told is believed less the older it is: a target that was
-        slow gets calls again in time, and shows whether it still is.
+        The weight of a reported time decays with its age, so that a target
+        that was slow receives calls again and shows whether it still is.
 
         Parameters
         ----------
         route : str
-            Of the call.
+            Route of the call.
         typical_ms : float
             Work time of the route over all targets.
         now_s : float
             Time of the event loop.
         """
-        told = self._route_work.get(route)
+        reported = self._route_work.get(route)
         work_ms = typical_ms
-        if told is not None:
-            told_ms, told_s = told
-            age_ms = (now_s - told_s) * 1000
+        if reported is not None:
+            reported_ms, reported_s = reported
+            age_ms = (now_s - reported_s) * 1000
             weight = 0.5 ** (age_ms / WORK_HALF_LIFE_MS)
-            work_ms += (told_ms - typical_ms) * weight
-        return work_ms * (COLD_COST if now_s < self._cold_until_s else 1)
+            work_ms += (reported_ms - typical_ms) * weight
+        return work_ms * (
+            COLD_WORK_FACTOR if now_s < self._cold_until_s else 1
+        )
 
     def estimate_failed_share(self, now_s: float) -> float:
-        """Estimate the share of calls that its target fails, 0 to 1.
+        """Estimate the share of calls that the target fails, 0 to 1.
 
-        Believed less the older it is, as its work times are.
+        The weight of the report decays with its age, as for work times.
         """
         if self.report is None or not self.report.failed_percent:
             return 0.0
@@ -163,15 +165,15 @@
         return self.report.failed_percent / 100 * weight
 
     def is_cold(self, now_s: float) -> bool:
-        """Whether the target has just started and is slow."""
+        """Whether the target has recently started and is still slow."""
         return now_s < self._cold_until_s
 
     def note_cold(self, until_s: float) -> None:
-        """Note that the target has just started and is slow until then."""
+        """Record that the target has started and is slow until a time."""
         self._cold_until_s = until_s
 
     def estimate_link_share(self, now_s: float) -> float:
-        """Estimate how much of the link of its host is used, 0 to 1."""
+        """Estimate the utilisation of the link of the host, 0 to 1."""
         if self.report is None or not self.report.link_percent:
             return 0.0
         age_ms = (now_s - self.reported_s) * 1000
@@ -179,7 +181,7 @@
         return self.report.link_percent / 100 * weight
 
     def estimate_answer_wait_ms(self, now_s: float) -> float:
-        """Estimate how long a large answer of its target waits to leave."""
+        """Estimate how long a large answer waits for the link of the host."""
         if self.report is None:
             return 0.0
         age_ms = (now_s - self.reported_s) * 1000
@@ -189,16 +191,17 @@
     def estimate_present(self, now_s: float, is_nested: bool) -> float:
         """Estimate the calls that go before a new one at the target.
 
-        Those of targets go before all others that wait.  Two targets of
-        which one was slow and had them all, while the quick one worked on
-        the queue of the others, made every nested call wait 40 to 50 ms.
+        Calls of targets go before all others that wait.  When all calls were
+        counted alike, every nested call waited 40 to 50 ms with two targets:
+        a slow one received all nested calls, while the fast one worked on the
+        queue of other calls.
 
         Parameters
         ----------
         now_s : float
             Time of the event loop.
         is_nested : bool
-            Whether the new call is one of a target.
+            Whether the new call comes from a target.
         """
         report = self.report
         if report is None:
@@ -211,45 +214,45 @@
             others -= self.report_in_flight_nested
         age_ms = (now_s - self.reported_s) * 1000
         weight = 0.5 ** (age_ms / self._settings.report_half_life_ms)
-        usual = self._usual_nested if is_nested else self._usual_present
+        usual = self._mean_nested if is_nested else self._mean_present
         return own + max(0, others) * weight + usual * (1 - weight)
 
     def is_known_full(self, now_s: float) -> bool:
-        """Whether it told just now that all places are taken and others wait.
+        """Whether a recent report showed all slots taken and calls queued.
 
-        A place that becomes free goes to one of those.
+        A slot that becomes free goes to one of the queued calls.
         """
         report = self.report
-        if report is None or now_s - self.reported_s > KNOWN_FULL_S:
+        if report is None or now_s - self.reported_s > QUEUE_REPORT_VALID_S:
             return False
         return report.waiting > 0 and report.running >= report.limit
 
     @property
-    def told_wait_ms(self) -> int:
-        """Time for which a call waits that comes behind those it told of."""
+    def reported_wait_ms(self) -> int:
+        """Estimated wait of a call behind those of the last report."""
         report = self.report
         if report is None:
             return 0
         return (report.waiting + 1) * report.work_ms // max(1, report.limit)
 
     def start_call(self, now_s: float, is_nested: bool) -> None:
-        """Note that a call is under way."""
+        """Record that a call has started."""
         if not self.in_flight:
             self.busy_since_s = now_s
         self.in_flight += 1
         self.in_flight_nested += is_nested
 
     def end_call(self, is_nested: bool) -> None:
-        """Note that a call has ended, in whatever way."""
+        """Record that a call has ended, with any result."""
         self.in_flight -= 1
         self.in_flight_nested -= is_nested
 
     def find_silence_ms(self, now_s: float) -> float:
-        """Return for how long its daemon has answered nothing at all."""
+        """Return the time since the daemon last answered anything."""
         return self._find_silence_ms(self.heard_s, now_s)
 
     def find_target_silence_ms(self, now_s: float) -> float:
-        """Return for how long its target has answered no call."""
+        """Return the time since the target last answered a call."""
         return self._find_silence_ms(self.answered_s, now_s)
 
     def _find_silence_ms(self, heard_s: float, now_s: float) -> float:
@@ -259,55 +262,60 @@
 
     @property
     def longest_work_ms(self) -> int:
-        """Work time of the route that takes longest at the target."""
+        """Work time of the slowest route at the target."""
         return max(
-            (work_ms for work_ms, _told_s in self._route_work.values()),
-            default=UNKNOWN_WORK_MS,
+            (work_ms for work_ms, _reported_s in self._route_work.values()),
+            default=DEFAULT_WORK_MS,
         )
 
     def abandon(self, now_s: float) -> None:
-        """Give up a daemon that is silent."""
+        """Mark a silent daemon as failed and wake the calls waiting for it."""
         self.fail(now_s, f'silent, {self.in_flight} calls under way')
-        self.end_waits()
+        self.release_silence_waiters()
 
-    def end_waits(self) -> None:
-        """Tell the calls under way that they wait for a silent target."""
-        futures, self._silences = self._silences, set()
+    def release_silence_waiters(self) -> None:
+        """Notify the calls in flight that the target is silent."""
+        futures, self._silence_waiters = self._silence_waiters, set()
         for future in futures:
             if not future.done():
                 future.set_result(None)
 
     def watch_silence(self) -> asyncio.Future:
-        """Return what is done when the target or its daemon is silent."""
+        """Return a future that is done when the target or daemon is silent."""
         future = asyncio.get_running_loop().create_future()
-        self._silences.add(future)
+        self._silence_waiters.add(future)
         return future
 
     def forget_silence(self, future: asyncio.Future) -> None:
-        """Give up what :meth:`watch_silence` returned."""
-        self._silences.discard(future)
+        """Discard a future returned by :meth:`watch_silence`."""
+        self._silence_waiters.discard(future)
 
     async def ask_for_life(self) -> None:
-        """Ask its daemon for any answer at all."""
-        self.is_asked_for_life = True
+        """Ping the daemon."""
+        self.is_ping_pending = True
         try:
             answer = await self.ask(_hop.encode_ping(), 'peer unheard')
             if answer is not None:
                 self.heard_s = asyncio.get_running_loop().time()
         finally:
-            self.is_asked_for_life = False
+            self.is_ping_pending = False
 
     async def ask(
         self, data: bytes, failure: str
     ) -> transport.Response | None:
-        """Send its daemon what is answered at once; return the answer, if any.
+        """Send a request that the daemon answers at once; return the answer.
 
         Parameters
         ----------
         data : bytes
             The encoded request.
         failure : str
-            What to write where no answer comes.
+            Log message when no answer arrives.
+
+        Returns
+        -------
+        Response or None
+            None when no answer arrives.
         """
         try:
             async with asyncio.timeout(ASK_TIMEOUT_S):
@@ -334,7 +342,7 @@
         route: base.RouteName,
         now_s: float,
     ) -> None:
-        """Take in what its gate told with the answer to a call."""
+        """Record the load that the target reported with an answer."""
         self.failures = 0
         self.suspect_until_s = 0.0
         self.heard_s = now_s
@@ -346,28 +354,28 @@
         self.report_in_flight_nested = self.in_flight_nested
         self.reported_s = now_s
         if report.slowness_percent:
-            self._moment.note(report.slowness_percent, now_s)
+            self._speed.note(report.slowness_percent, now_s)
         others = report.running + report.waiting - self.in_flight
-        self._usual_present += USUAL_WEIGHT * (
-            max(0, others) - self._usual_present
+        self._mean_present += USUAL_WEIGHT * (
+            max(0, others) - self._mean_present
         )
         nested = report.running + report.waiting_nested
         nested -= self.in_flight_nested
-        self._usual_nested += USUAL_WEIGHT * (
-            max(0, nested) - self._usual_nested
+        self._mean_nested += USUAL_WEIGHT * (
+            max(0, nested) - self._mean_nested
         )
         if report.route_work_ms:
             self._route_work[route] = (report.route_work_ms, now_s)
 
     def close(self, now_s: float, reason: _messages.RefusalReason) -> None:
-        """Send nothing to its target for a while.
+        """Send nothing to the target for a while.
 
-        A target that is leaving has its row changed meanwhile; a daemon
-        that was restarted learns of its target again.
+        The row of a target that is leaving changes in the meantime; a
+        restarted daemon learns of its target again.
         """
-        pause_ms = CLOSED_MS
+        pause_ms = CLOSED_PAUSE_MS
         if reason is _messages.RefusalReason.TARGET_UNKNOWN:
-            pause_ms = UNKNOWN_TARGET_MS
+            pause_ms = UNKNOWN_TARGET_PAUSE_MS
         if now_s >= self.closed_until_s:
             LOG.info(
                 'target closed',
@@ -381,30 +389,30 @@
         self.closed_until_s = now_s + pause_ms / 1000
 
     def is_suspect(self, now_s: float) -> bool:
-        """Whether it failed just now, and gets nothing if it can be."""
+        """Whether it failed recently and is avoided where possible."""
         return now_s < self.suspect_until_s
 
     def note_unreachable(
         self, now_s: float, detail: str, is_refused: bool
     ) -> None:
-        """Note that a new connection did not come about.
+        """Record that a new connection could not be opened.
 
         Parameters
         ----------
         now_s : float
             Time of the event loop.
         detail : str
-            For logs.
+            Cause, for logs.
         is_refused : bool
-            Whether its host answered that nobody listens.
+            Whether the host refused the connection because nothing listens.
         """
         if is_refused:
-            self._suspect(now_s, REFUSED_MS, detail)
-        elif now_s - self.heard_s > HEARD_RECENTLY_S:
+            self._mark_suspect(now_s, CONNECTION_REFUSED_PAUSE_MS, detail)
+        elif now_s - self.heard_s > RECENT_RESPONSE_S:
             self.fail(now_s, detail)
 
     def fail(self, now_s: float, detail: str) -> None:
-        """Note a failed connection: it gets nothing for a while."""
+        """Record a failed connection: the peer is avoided for a while."""
         if self.is_suspect(now_s):
             return
         pause_ms = min(
@@ -413,9 +421,9 @@
         )
         self.failures = min(self.failures + 1, 8)
         self.pool.close()
-        self._suspect(now_s, pause_ms, detail)
+        self._mark_suspect(now_s, pause_ms, detail)
 
-    def _suspect(self, now_s: float, pause_ms: int, detail: str) -> None:
+    def _mark_suspect(self, now_s: float, pause_ms: int, detail: str) -> None:
         if self.is_suspect(now_s):
             return
         self.suspect_until_s = now_s + pause_ms / 1000
@@ -430,7 +438,7 @@
 
 
 class PeerTable:
-    """Peers by host; made when they are first needed.
+    """Peers by host, created on first use.
 
     Parameters
     ----------
@@ -441,14 +449,14 @@
     def __init__(self, mesh_settings: _settings.MeshSettings):
         self.mesh_settings = mesh_settings
         self._peers: dict[base.HostId, Peer] = {}
-        #: How calls have ended, beside what was expected of them.
+        #: Actual against estimated durations of calls.
         self.end_times = balance.EndTimes()
         self._typical_ms: dict[base.RouteName, float] = {}
         self._answer_bytes: dict[base.RouteName, float] = {}
 
     def typical_work_ms(self, route: base.RouteName) -> float:
-        """Return the work time of a route over all targets."""
-        return self._typical_ms.get(route, UNKNOWN_WORK_MS)
+        """Return the mean work time of a route over all targets."""
+        return self._typical_ms.get(route, DEFAULT_WORK_MS)
 
     def take_report(
         self,
@@ -457,29 +465,29 @@
         route: base.RouteName,
         now_s: float,
     ) -> None:
-        """Take in what the gate of a peer told with the answer to a call."""
+        """Record the load that a peer reported with an answer to a call."""
         peer.take_report(report, route, now_s)
         if report is None or not report.route_work_ms:
             return
         _note_typical(self._typical_ms, route, report.route_work_ms)
 
     def typical_answer_bytes(self, route: base.RouteName) -> float:
-        """Return the size of answers of a route; 0 while unknown."""
+        """Return the mean answer size of a route; 0 when unknown."""
         return self._answer_bytes.get(route, 0.0)
 
     def note_answer(self, route: base.RouteName, size_bytes: int) -> None:
-        """Take in the size of one answer."""
+        """Record the size of one answer."""
         _note_typical(self._answer_bytes, route, size_bytes)
 
     def retain_routes(self, routes: Collection[base.RouteName]) -> None:
-        """Forget what was learned of routes that are no longer in force."""
+        """Drop statistics of routes that are no longer in force."""
         for table in (self._typical_ms, self._answer_bytes):
             for route in table.keys() - set(routes):
                 del table[route]
         self.end_times.retain(routes)
 
     def find(self, row: _messages.MemberRow) -> Peer:
-        """Return the peer of a row; a new target starts unknown."""
+        """Return the peer of a row; a new target has no known load."""
         peer = self._peers.get(row.host)
         pool = None
         if peer is not None:
@@ -491,8 +499,8 @@
             elif old.lifetime == row.lifetime:
                 return peer
             else:
-                # The same daemon, or one that took its place: connections
-                # that are still open lead to it.
+                # The same daemon or its replacement: open connections lead to
+                # it.
                 pool = peer.pool
         peer = Peer(row, self.mesh_settings, pool or self._make_pool(row))
         self._peers[row.host] = peer
@@ -508,36 +516,38 @@
         )
 
     def abandon_silent(self, now_s: float) -> None:
-        """Give up daemons and targets that are silent for too long."""
+        """Mark daemons and targets that are silent for too long."""
         limit_ms = self.mesh_settings.silence_ms
         for peer in self._list_busy():
             if peer.find_silence_ms(now_s) > limit_ms:
                 peer.abandon(now_s)
                 continue
-            target_limit_ms = max(limit_ms, LATE_WORKS * peer.longest_work_ms)
+            target_limit_ms = max(
+                limit_ms, HUNG_WORK_TIMES * peer.longest_work_ms
+            )
             if peer.find_target_silence_ms(now_s) > target_limit_ms:
-                peer.end_waits()
+                peer.release_silence_waiters()
 
     def _list_busy(self) -> list[Peer]:
-        """Return the peers with calls under way.
+        """Return the peers with calls in flight.
 
-        Most have none: with 195 hosts a look at all of them ten times a
-        second takes 0.37 % of a core (368 us a look, and 6 us of these).
+        Most have none: with 195 hosts, ten checks of all peers per second take
+        0.37 % of a core (368 us per check, against 6 us for the busy ones).
         """
         return [peer for peer in self._peers.values() if peer.in_flight]
 
     def list_unheard(self, now_s: float) -> list[Peer]:
-        """Return peers whose daemons should be asked whether they live."""
-        wait_ms = self.mesh_settings.silence_ms * ASK_SHARE
+        """Return silent peers whose daemons should be pinged."""
+        wait_ms = self.mesh_settings.silence_ms * PING_SILENCE_SHARE
         return [
             peer
             for peer in self._list_busy()
-            if not peer.is_asked_for_life
+            if not peer.is_ping_pending
             and peer.find_silence_ms(now_s) > wait_ms
         ]
 
     def retain(self, hosts: frozenset[base.HostId]) -> None:
-        """Forget peers that are no longer members."""
+        """Drop peers that are no longer members."""
         for host in [host for host in self._peers if host not in hosts]:
             self._peers.pop(host).pool.close()
 
@@ -545,6 +555,6 @@
 def _note_typical(
     table: dict[base.RouteName, float], route: base.RouteName, value: float
 ) -> None:
-    """Move the mean of a route towards a new value."""
+    """Update the moving average of a route with a new value."""
     old = table.get(route, value)
     table[route] = old + TYPICAL_WEIGHT * (value - old)
--- a/sedgering/mesh/_probe.py
+++ b/sedgering/mesh/_probe.py
@@ -1,4 +1,4 @@
-"""Asks the local target who it is, when its report is still awaited."""
+"""Asks the local target for its identity before its report arrives."""
 
 import asyncio
 import logging
@@ -12,7 +12,8 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Longest wait; the next heartbeat comes within some 1.5 s in any case.
+#: Longest wait for the answer; the next heartbeat arrives within about 1.5 s
+#: in any case.
 PROBE_TIMEOUT_S = 1.0
 STATUS_OK = 200
 
@@ -23,27 +24,27 @@
     names: _messages.HeaderNames,
     target_set: base.TargetSetName,
 ) -> _messages.TargetReport | None:
-    """Ask the health check of the local target.
+    """Query the health check of the local target.
 
     A daemon that was restarted beside a running target need not wait for
-    the next heartbeat.  A target that is leaving, or thinks itself ill,
-    does not answer 200; it is told as draining.
+    the next heartbeat.  A target that is leaving, or reports itself
+    unhealthy, does not answer 200; it is reported as draining.
 
     Parameters
     ----------
     pool : ConnectionPool
         Connections to the target.
     path : str
-        Of the health check.
+        Path of the health check.
     names : HeaderNames
-        Fields shared with targets.
+        Header field names shared with targets.
     target_set : str
-        Of the target, from the settings.
+        Target set of the target, from the settings.
 
     Returns
     -------
     TargetReport or None
-        None when it does not tell who it is.
+        None when the target does not identify itself.
     """
     request = transport.Request('GET', path, [('Host', pool.address)])
     try:
--- a/sedgering/mesh/_progress.py
+++ b/sedgering/mesh/_progress.py
@@ -1,4 +1,4 @@
-"""How far an attempt has come, told where its request ends without it."""
+"""Progress of an attempt, logged when its request ends without an answer."""
 
 import enum
 
@@ -14,17 +14,17 @@
     CONNECTION = 'not connected'
     ROOM = 'asks for room'
     OWN_TARGET = 'at the own target'
-    #: The other daemon has the call, or it is on its way.
+    #: The call was sent to the other daemon, or is being sent.
     ANSWER = 'sent'
 
 
 class AttemptProgress:
-    """Where an attempt is.
+    """Stage of an attempt.
 
     Parameters
     ----------
     host : str
-        Of the target.
+        Host of the target.
     now_s : float
         Time of the event loop.
     """
@@ -38,12 +38,12 @@
         self.connection: transport.ClientConnection | None = None
 
     def note(self, stage: AttemptStage, now_s: float) -> None:
-        """Note that a stage begins."""
+        """Record that a stage begins."""
         self.stage = stage
         self.since_s = now_s
 
     def describe(self, now_s: float) -> str:
-        """Say where it is, since when, and what has come of the answer."""
+        """Describe the stage, its age, and what has arrived of the answer."""
         age_ms = _find_age_ms(self.since_s, now_s)
         if self.stage is not AttemptStage.ANSWER:
             return f'{self.host}: {self.stage.value} for {age_ms} ms'
--- a/sedgering/mesh/_refusal.py
+++ b/sedgering/mesh/_refusal.py
@@ -1,4 +1,4 @@
-"""What a caller is told that gets no answer of a target."""
+"""Responses to callers whose requests got no answer of a target."""
 
 import json
 
@@ -8,29 +8,30 @@
 
 __all__ = ['make_refusal', 'may_have_run']
 
-NOT_RUN = 503
+SERVICE_UNAVAILABLE = 503
 UNAUTHORIZED = 401
-BEYOND_QUOTA = 429
-#: All other codes say that the request has not run and never will.
+TOO_MANY_REQUESTS = 429
+#: Status by code. All other codes mean that the request has not run and never
+#: will: 503.
 _STATUS = {
     exceptions.Code.REQUEST_NO_ROUTE: 404,
     exceptions.Code.REQUEST_MALFORMED: 400,
     exceptions.Code.REQUEST_KEY_UNKNOWN: 401,
     exceptions.Code.REQUEST_UNKNOWN: 502,
     exceptions.Code.REQUEST_LATE: 504,
-    exceptions.Code.REQUEST_QUOTA: BEYOND_QUOTA,
+    exceptions.Code.REQUEST_QUOTA: TOO_MANY_REQUESTS,
 }
-#: The outcome of such requests is not known.
-_UNKNOWN = frozenset(
+#: Codes after which the outcome of the request is not known.
+_UNKNOWN_OUTCOME_CODES = frozenset(
     (exceptions.Code.REQUEST_UNKNOWN, exceptions.Code.REQUEST_LATE)
 )
-#: That tell when to come back.
-_PAUSED = frozenset((BEYOND_QUOTA, NOT_RUN))
+#: Statuses that carry Retry-After.
+_RETRY_AFTER_STATUSES = frozenset((TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE))
 
 
 def may_have_run(code: exceptions.Code) -> bool:
-    """Say whether a target may have run a request that ends so."""
-    return code in _UNKNOWN
+    """Whether a target may have run a request that ended with a code."""
+    return code in _UNKNOWN_OUTCOME_CODES
 
 
 def make_refusal(
@@ -40,26 +41,26 @@
     pause_s: float,
     key_scheme: str = '',
 ) -> transport.Response:
-    """Make the answer of the daemon's own to a request.
+    """Make the response of the daemon itself to a refused request.
 
     Parameters
     ----------
     code : Code
-        Why.
+        Reason of the refusal.
     id_field : str
-        Name of the field that carries the id.
+        Name of the header field of the request id.
     request_id : str
-        Of the caller; empty without one.
+        Id that the caller set; empty when it set none.
     pause_s : float
-        When to come back, told where the request has not run.
+        Value of Retry-After, sent when the request has not run.
     key_scheme : str
-        Scheme in which a key is sent, told where one is missing.
+        Authentication scheme of keys, sent when a key is missing or unknown.
     """
-    status = _STATUS.get(code, NOT_RUN)
+    status = _STATUS.get(code, SERVICE_UNAVAILABLE)
     headers = [('Content-Type', 'application/json')]
     if request_id:
         headers.append((id_field, request_id))
-    if status in _PAUSED:
+    if status in _RETRY_AFTER_STATUSES:
         headers.append(('Retry-After', f'{pause_s:.3f}'))
     if status == UNAUTHORIZED:
         headers.append(('WWW-Authenticate', key_scheme))
--- a/sedgering/mesh/_search.py
+++ b/sedgering/mesh/_search.py
@@ -1,125 +1,129 @@
-"""Finds a target with a free place before a call waits at any.
+"""Searches for a target with a free slot before a call queues anywhere.
 
-A daemon of a large fleet asks each target once in some seconds, so what it
-knows of their load is old, and the target that it chooses is full while
-others are idle.  So a call goes out first on condition that a place is free;
-whoever has none says at once how long the call would wait.  After a few of
-these it waits where that is shortest.
+A daemon of a large fleet calls each target only every few seconds.  Its load
+reports are stale, so it may choose a full target while others are idle.
+Therefore a call is first sent on condition that a slot is free.  A target
+without one refuses at once and states how long the call would wait.  After a
+few refusals the call queues at the target with the shortest wait.
 """
 
 import msgspec
 
 from sedgering import base
 
-__all__ = ['FreePlaces', 'Search']
+__all__ = ['SearchStats', 'FreeSlotSearch']
 
-#: Hosts that are asked for a free place.  Each costs a round trip of 3 ms and
-#: 0.5 ms of processor time on both hosts together.
-ASKS_LIMIT = 4
-#: Bodies above this size are sent once: a refusal would cost the link.
+#: Maximum number of hosts asked for a free slot. Each costs a round trip of 3
+#: ms and 0.5 ms of processor time on both hosts together.
+PROBES_LIMIT = 4
+#: Larger bodies are not sent on condition of a free slot: a refusal would
+#: waste link bandwidth.
 BODY_LIMIT_BYTES = 16 * 1024
-#: Weight of the newest search in the share that found a place.
-FOUND_WEIGHT = 0.05
-#: Share of searches that must find a place; below it the set is full, and
-#: asking around only costs processor time.
-LEAST_FOUND_SHARE = 0.5
-#: Then one in so many still asks, to see whether that has passed.
-TRY_EVERY = 8
+#: Weight of the newest search in the share of successful ones.
+SUCCESS_WEIGHT = 0.05
+#: Below this share of successful searches the target set counts as full, and
+#: searching only costs processor time.
+MIN_SUCCESS_SHARE = 0.5
+#: One call in this many still searches a full set, to detect that slots have
+#: become free.
+SEARCH_INTERVAL = 8
 
 
-class _SetShare(msgspec.Struct):
-    """How searches among the targets of one set ended.
+class _SetStats(msgspec.Struct):
+    """Results of searches among the targets of one set.
 
     Parameters
     ----------
-    found_share : float
-        Share of recent ones that found a place.
+    success_share : float
+        Share of recent searches that found a free slot.
     skipped : int
-        Searches left out since the last one.
+        Searches skipped since the last one.
     """
 
-    found_share: float = 1.0
+    success_share: float = 1.0
     skipped: int = 0
 
 
-class FreePlaces:
-    """Whether it is worth to search, learned for each target set."""
+class SearchStats:
+    """Tracks per target set whether searching is worthwhile."""
 
     def __init__(self):
-        self._sets: dict[base.TargetSetName, _SetShare] = {}
+        self._sets: dict[base.TargetSetName, _SetStats] = {}
 
-    def is_worth_it(self, target_set: base.TargetSetName) -> bool:
-        """Say whether a call should search for a free place."""
-        known = self._sets.setdefault(target_set, _SetShare())
-        if known.found_share >= LEAST_FOUND_SHARE:
+    def is_worthwhile(self, target_set: base.TargetSetName) -> bool:
+        """Whether a call should search for a free slot."""
+        set_stats = self._sets.setdefault(target_set, _SetStats())
+        if set_stats.success_share >= MIN_SUCCESS_SHARE:
             return True
-        known.skipped += 1
-        if known.skipped < TRY_EVERY:
+        set_stats.skipped += 1
+        if set_stats.skipped < SEARCH_INTERVAL:
             return False
-        known.skipped = 0
+        set_stats.skipped = 0
         return True
 
     def note(self, target_set: base.TargetSetName, is_found: bool) -> None:
-        """Take in how a search ended."""
-        known = self._sets.setdefault(target_set, _SetShare())
-        # One that still searches stands for some that were left out: four that
-        # find a place let all search again.
+        """Record the result of a search."""
+        set_stats = self._sets.setdefault(target_set, _SetStats())
+        # A search of a full set also counts for some of the skipped ones: four
+        # successes resume searching for all calls.
         stands_for = 1
-        if known.found_share < LEAST_FOUND_SHARE:
-            stands_for = TRY_EVERY // 2
-        kept = (1 - FOUND_WEIGHT) ** stands_for
-        known.found_share = is_found + kept * (known.found_share - is_found)
+        if set_stats.success_share < MIN_SUCCESS_SHARE:
+            stands_for = SEARCH_INTERVAL // 2
+        kept = (1 - SUCCESS_WEIGHT) ** stands_for
+        set_stats.success_share = is_found + kept * (
+            set_stats.success_share - is_found
+        )
 
 
-class Search:
-    """The search of one request.
+class FreeSlotSearch:
+    """The search for a free slot of one request.
 
     Parameters
     ----------
-    places : FreePlaces
-        Learns how it ends.
+    stats : SearchStats
+        Records the result.
     target_set : str
-        Searched.
+        Target set that is searched.
     body_bytes : int
-        Of the request.
+        Size of the request body.
     """
 
     def __init__(
         self,
-        places: FreePlaces,
+        stats: SearchStats,
         target_set: base.TargetSetName,
         body_bytes: int,
     ):
-        self._places = places
+        self._stats = stats
         self._target_set = target_set
         is_small = body_bytes <= BODY_LIMIT_BYTES
-        self.is_on = is_small and places.is_worth_it(target_set)
-        #: Wait that each host told.
+        self.is_on = is_small and stats.is_worthwhile(target_set)
+        #: Estimated wait by host, from the refusals.
         self._waits_ms: dict[base.HostId, int] = {}
 
     @property
-    def asks(self) -> int:
-        """Hosts that had no free place."""
+    def probes(self) -> int:
+        """Number of hosts that had no free slot."""
         return len(self._waits_ms)
 
     def note_busy(self, host: base.HostId, wait_ms: int) -> None:
-        """Take in that a host has no free place."""
+        """Record that a host has no free slot."""
         self._waits_ms[host] = wait_ms
-        if self.asks >= ASKS_LIMIT:
+        if self.probes >= PROBES_LIMIT:
             self.end(False)
 
     def end(self, is_found: bool) -> None:
-        """Search no longer."""
+        """End the search and record its result."""
         if self.is_on:
             self.is_on = False
             if self._waits_ms:
-                self._places.note(self._target_set, is_found)
+                self._stats.note(self._target_set, is_found)
 
     def list_by_wait(self) -> list[base.HostId]:
-        """Return the busy hosts, the one with the shortest wait first."""
+        """Return the busy hosts by estimated wait, shortest first."""
         return sorted(self._waits_ms, key=self._waits_ms.get)
 
     def forget(self, host: base.HostId) -> None:
-        """Leave a host out: the call has been sent there to wait."""
+        """Remove a host to which the call was sent to wait."""
         if not self.is_on:
             self._waits_ms.pop(host, None)
--- a/sedgering/mesh/_sender.py
+++ b/sedgering/mesh/_sender.py
@@ -1,4 +1,4 @@
-"""Sends one call to one target, beside this daemon or another one."""
+"""Sends one call to one target, local or at another daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,17 +20,17 @@
 
 
 class SentCall:
-    """A call that was sent over an open connection, and needs no task.
+    """A call sent over an open connection, without a task of its own.
 
-    It has the methods of a task that its request asks for; whoever waits is
-    told in the turn in which the answer comes.
+    It has those methods of a task that a request uses.  The waiting request
+    is notified in the same event loop iteration in which the answer arrives.
 
     Parameters
     ----------
     connection : ClientConnection
-        Over which it was sent.
+        Connection that the call was sent over.
     on_cancelled : callable
-        Called where it is given up.
+        Called when the call is cancelled.
     """
 
     __slots__ = ('_answer', '_connection', '_on_cancelled', '_on_done')
@@ -46,17 +46,17 @@
         self._answer: _messages.CallAnswer | None = None
 
     def add_done_callback(self, on_done: Callable) -> None:
-        """Be told once the answer is there."""
+        """Set the callback that runs when the answer has arrived."""
         self._on_done = on_done
 
     def end(self, answer: _messages.CallAnswer) -> None:
-        """Take the answer in."""
+        """Set the answer and run the callback."""
         self._answer = answer
         if self._on_done is not None:
             self._on_done(self)
 
     def done(self) -> bool:
-        """Whether the answer is there."""
+        """Whether the answer has arrived."""
         return self._answer is not None
 
     def result(self) -> _messages.CallAnswer:
@@ -64,23 +64,23 @@
         return self._answer
 
     def cancel(self) -> None:
-        """Give the call up; the daemon that has it sees its end."""
+        """Cancel the call; the other daemon sees the connection close."""
         if self._answer is None:
             self._connection.abandon()
             self._on_cancelled()
 
 
 class CallSender:
-    """Sends calls, and learns the load that answers tell.
+    """Sends calls, and records the load reported with answers.
 
     Parameters
     ----------
     identity : MeshIdentity
-        Who this daemon is.
+        Identity of this daemon.
     side : TargetSide
         The local target.
     peers : PeerTable
-        What is known of the targets of others.
+        Load and failures of the targets of other daemons.
     """
 
     def __init__(
@@ -99,14 +99,19 @@
         call: _messages.TargetCall,
         progress: _progress.AttemptProgress,
     ) -> asyncio.Task | SentCall:
-        """Send a call; return what is done with its answer.
+        """Start a call; return a task or an equivalent object.
 
-        Over a connection that is open it takes no task: 0.1 ms less.
+        Over an open connection no task is needed, which saves 0.1 ms.
 
         Parameters
         ----------
         peer, call, progress
             As for :meth:`send`.
+
+        Returns
+        -------
+        Task or SentCall
+            Done when the answer has arrived.
         """
         connection = None
         if not self._needs_task(peer, call):
@@ -119,7 +124,7 @@
     def _needs_task(
         self, peer: _peers.Peer, call: _messages.TargetCall
     ) -> bool:
-        """Whether more than one answer has to be waited for."""
+        """Whether the call takes more than one exchange, or is local."""
         is_own = peer.row.host == self.identity.host
         return is_own or _room.needs_room(peer.row, len(call.request.body))
 
@@ -149,7 +154,7 @@
         progress.note(_Stage.ANSWER, now_s)
         connection.begin_exchange(
             _hop.encode_call(call),
-            _is_own,
+            _accept_any,
             end,
             call.request.method == 'HEAD',
         )
@@ -162,7 +167,7 @@
         call: _messages.TargetCall,
         outcome: transport.Response | transport.ExchangeFailed,
     ) -> _messages.CallAnswer:
-        """Tell how a call ended that was sent over a connection."""
+        """Turn the outcome of an exchange into the answer of the call."""
         if isinstance(outcome, transport.ExchangeFailed):
             return self._fail(peer, connection, outcome, True)
         try:
@@ -180,7 +185,7 @@
         error: Exception,
         is_sent: bool,
     ) -> _messages.CallAnswer:
-        """Tell of a call whose connection or answer was spoilt."""
+        """Make the answer of a call whose connection or response failed."""
         connection.close()
         peer.fail(asyncio.get_running_loop().time(), str(error))
         return _messages.CallAnswer(
@@ -203,9 +208,9 @@
         peer : Peer
             The target and its daemon.
         call : TargetCall
-            To send.
+            The call to send.
         progress : AttemptProgress
-            Is told where the call is.
+            Updated with the stage of the attempt.
         """
         loop = asyncio.get_running_loop()
         is_nested = call.urgency is _messages.CallUrgency.TARGET
@@ -272,7 +277,7 @@
         if not _room.needs_room(peer.row, body_bytes):
             return None
         response = await connection.exchange(
-            _room.encode_room_request(body_bytes), _is_own
+            _room.encode_room_request(body_bytes), _accept_any
         )
         answer = _hop.decode_answer(response)
         return None if answer.reason is _Reason.NONE else answer
@@ -284,12 +289,12 @@
     ) -> _messages.CallAnswer:
         response = await connection.exchange(
             _hop.encode_call(call),
-            _is_own,
+            _accept_any,
             call.request.method == 'HEAD',
         )
         return _hop.decode_answer(response)
 
 
-def _is_own(_response: transport.Response) -> bool:
-    """A daemon answers one call at a time on a connection."""
+def _accept_any(_response: transport.Response) -> bool:
+    """Accept any response: a connection carries one call at a time."""
     return True
--- a/sedgering/mesh/_serving.py
+++ b/sedgering/mesh/_serving.py
@@ -1,39 +1,39 @@
-"""Until when a daemon answers: its end bounds the requests that it took."""
+"""Bounds requests by the time at which a leaving daemon stops."""
 
 import asyncio
 import math
 
-__all__ = ['ServingTime']
+__all__ = ['ServingDeadline']
 
 
-class ServingTime:
+class ServingDeadline:
     """Bounds the requests of a daemon by its own end.
 
-    A request may have more time left than the daemon that took it.  Without
-    a bound it ends with its connection, and its caller learns nothing; with
-    it, it ends with an answer, and what it still asks for is asked for the
-    time that the answer can be used.
+    A request may have more time left than the daemon that accepted it.
+    Without a bound its connection is cut, and the caller learns nothing.
+    With the bound it gets an answer, and its attempts are limited to the time
+    in which their answers can still be used.
     """
 
     def __init__(self):
-        #: Time of the event loop at which the last answers are given; endless
+        #: Time of the event loop at which the last answers are sent; infinite
         #: until the daemon leaves.
         self.end_s = math.inf
-        #: Whether callers should have stopped: what comes now is not begun
-        #: unless it ends in time.
+        #: Whether callers should have stopped: later requests are accepted
+        #: only if they end in time.
         self.is_over = False
         self._limits: set[asyncio.Timeout] = set()
 
-    def would_break_off(self, deadline_s: float) -> bool:
-        """Whether a request that is whole only now may be cut short.
+    def would_cut_off(self, deadline_s: float) -> bool:
+        """Whether a request that is complete only now may be cut off.
 
-        One whose own time ends before the daemon, such as the call of a
-        target that has work under way, is served.
+        A request whose own deadline is before the end of the daemon, such as
+        the call of a target that has work in flight, is served.
 
         Parameters
         ----------
         deadline_s : float
-            Time of the event loop at which the request ends.
+            Deadline of the request, as time of the event loop.
         """
         return self.is_over and deadline_s >= self.end_s
 
@@ -43,20 +43,20 @@
         Parameters
         ----------
         deadline_s : float
-            Time of the event loop at which the request ends otherwise.
+            Deadline of the request, as time of the event loop.
         """
         timeout = asyncio.timeout_at(min(deadline_s, self.end_s))
         self._limits.add(timeout)
         return timeout
 
     def forget(self, timeout: asyncio.Timeout) -> None:
-        """Note that a request has ended."""
+        """Drop the timeout of a request that has ended."""
         self._limits.discard(timeout)
 
     def end_at(self, end_s: float) -> None:
-        """Let all requests end at the latest then, present and later ones."""
+        """Bound all present and later requests by a time of the event loop."""
         self.end_s = end_s
         for timeout in self._limits:
-            # One that expires just now can't be moved any more.
+            # A timeout that is expiring cannot be rescheduled.
             if timeout.when() > end_s and not timeout.expired():
                 timeout.reschedule(end_s)
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -1,4 +1,4 @@
-"""What all requests of a daemon share."""
+"""State shared by all requests of a daemon."""
 
 from collections.abc import Callable
 import random
@@ -27,14 +27,14 @@
 
 
 class RequestState:
-    """What all requests of a daemon share.
+    """State shared by all requests of a daemon.
 
     Parameters
     ----------
     identity : MeshIdentity
-        Who this daemon is.
+        Identity of this daemon.
     names : HeaderNames
-        Fields shared with callers.
+        Header field names shared with callers.
     mesh_settings : MeshSettings
         Limits.
     config : ConfigHolder
@@ -42,15 +42,15 @@
     fleet : FleetTable
         Hosts and targets.
     peers : PeerTable
-        What is known of them.
+        Load and failures of the targets.
     side : TargetSide
         The local target.
     budget : RetryWindow
-        Retries.
+        Retry budget.
     decisions : DecisionLog
         Logs and metrics.
     rng : random.Random
-        Source of choices.
+        Source of random choices.
     """
 
     def __init__(
@@ -80,12 +80,12 @@
         self.sender = _sender.CallSender(identity, side, peers)
         self.turns = _choice.WeightedTurns()
         self.callers = _callers.CallerTable()
-        self.places = _search.FreePlaces()
+        self.search_stats = _search.SearchStats()
         self.levels = overload.LevelTable()
         self.centres = balance.CentreDemand()
-        self.start = _start.StartWait()
-        self.serving = _serving.ServingTime()
-        #: Tells how current the version in force is.
+        self.start = _start.StartupWait()
+        self.serving = _serving.ServingDeadline()
+        #: Returns how current the version in force is.
         self.find_currency: Callable[[], access.Currency] = access.Currency
         self.workspace_counts = access.WorkspaceCounts()
         self.revocation = access.Revocation()
@@ -104,18 +104,18 @@
         )
 
     def follow_revocation(self, mesh_settings: _settings.MeshSettings) -> None:
-        """Treat keys that may have been taken away as settings say."""
+        """Apply the settings for keys that may have been revoked."""
         self.revocation = access.Revocation(
             mesh_settings.revoke_strict, mesh_settings.revoke_ms / 1000
         )
 
     def take_told(self, row: _messages.MemberRow) -> bool:
-        """Believe what a daemon tells of the target beside it.
+        """Apply a daemon's report of its local target.
 
         Returns
         -------
         bool
-            Whether it was news.
+            Whether the report was new.
         """
         if not self.fleet.take_told(row):
             return False
@@ -123,6 +123,6 @@
         return True
 
     def note_started(self, row: _messages.MemberRow) -> None:
-        """Note that the target of a row has started."""
+        """Record that the target of a row has started."""
         now_s = self.side.gate.now_s()
         self.peers.find(row).note_cold(now_s + row.cold_ms / 1000)
