--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the decisions where there is too little room."""
+"""Steps that test the decisions under overload."""
 
 import asyncio
 import io
@@ -23,31 +23,35 @@
 
 SET = base.TargetSetName('catalogue')
 WORK_MS = 100.0
-LAST_S = 1.0
-#: Time over which the gates of the subject average their demand.
-DEMAND_MEMORY_S = 0.5
-MOST_LOOKED_AT = 400
+LAST_SECOND_S = 1.0
+#: Window over which the simulated gates average their demand.
+DEMAND_WINDOW_S = 0.5
+#: More calls than such a window holds.
+WINDOW_CALLS_LIMIT = 400
 
 
-class LevelSubject:
-    """One daemon's level of one set, and who was let through."""
+class AdmissionSubject:
+    """One daemon's admission of calls to one set, and its decisions."""
 
     def __init__(self, demand_percent: float):
         self.table = overload.LevelTable()
         self.demand_percent = demand_percent
         self.now_s = 0.0
         self.rng = random.Random(1)
-        #: Calls a second; none for a fixed share of refusals.
-        self.room_per_s: float | None = None
+        #: Calls served a second; None if a fixed share is refused.
+        self.capacity_per_s: float | None = None
         self.refused_share = 0.0
-        self.room = 0.0
-        #: Calls a second that fill the set, where demand follows them.
+        self.available = 0.0
+        #: Admitted calls a second at which the reported demand is 100 %; None
+        #: if it is fixed.
         self.full_per_s: float | None = None
-        #: Moment, name of the kind, and whether it was let through.
+        #: Time of each call, name of its kind, and whether it was admitted.
         self.seen: list[tuple[float, str, bool]] = []
 
-    def play(self, kinds: dict, length_s: float, is_told=True) -> None:
-        """Let kinds of calls come at their rates, in random order."""
+    def send_calls(
+        self, kinds: dict, length_s: float, is_reported=True
+    ) -> None:
+        """Send kinds of calls at their rates, in random order."""
         end_s = self.now_s + length_s
         rate_per_s = sum(rate for rate, _fields in kinds.values())
         names = list(kinds)
@@ -55,44 +59,46 @@
         while self.now_s < end_s:
             step_s = 1 / rate_per_s
             self.now_s += step_s
-            if self.room_per_s is not None:
-                self.room = min(5.0, self.room + self.room_per_s * step_s)
+            if self.capacity_per_s is not None:
+                self.available = min(
+                    5.0, self.available + self.capacity_per_s * step_s
+                )
             (name,) = self.rng.choices(names, weights)
-            self._ask(name, kinds[name][1])
-            if is_told:
+            self._send_call(name, kinds[name][1])
+            if is_reported:
                 percent = self._find_demand_percent()
                 self.table.take_demand(SET, percent, self.now_s)
 
     def _find_demand_percent(self) -> float:
         if self.full_per_s is None:
             return self.demand_percent
-        from_s = self.now_s - DEMAND_MEMORY_S
+        from_s = self.now_s - DEMAND_WINDOW_S
         passed = sum(
             is_admitted
-            for at_s, _name, is_admitted in self.seen[-MOST_LOOKED_AT:]
+            for at_s, _name, is_admitted in self.seen[-WINDOW_CALLS_LIMIT:]
             if at_s > from_s
         )
-        return 100 * passed / (self.full_per_s * DEMAND_MEMORY_S)
+        return 100 * passed / (self.full_per_s * DEMAND_WINDOW_S)
 
-    def _ask(self, name: str, fields: dict) -> None:
+    def _send_call(self, name: str, fields: dict) -> None:
         request_id = base.RequestId(str(self.rng.random()))
         given_fields = {'priority': 1, **fields}
         call = overload.AskedCall(SET, request_id, WORK_MS, **given_fields)
         verdict = self.table.judge(call, self.now_s)
         self.seen.append((self.now_s, name, verdict.is_admitted))
-        if verdict.is_admitted and not self._finds_room():
+        if verdict.is_admitted and not self._is_served():
             self.table.note_refused(call, self.now_s)
 
-    def _finds_room(self) -> bool:
-        if self.room_per_s is None:
+    def _is_served(self) -> bool:
+        if self.capacity_per_s is None:
             return self.rng.random() >= self.refused_share
-        if self.room < 1:
+        if self.available < 1:
             return False
-        self.room -= 1
+        self.available -= 1
         return True
 
     def find_percent(self, name: str, from_s: float, to_s: float) -> float:
-        """Return the share of a kind that was let through."""
+        """Return the share of a kind that was admitted, in percent."""
         found = [
             is_admitted
             for at_s, kind, is_admitted in self.seen
@@ -101,228 +107,231 @@
         return 100 * sum(found) / len(found)
 
 
-@given('a set of which gates tell a demand of {percent:d} %')
+@given('a set whose gates report a demand of {percent:d} %')
 def step_set(context, percent):
-    context.level = LevelSubject(percent)
+    context.admission = AdmissionSubject(percent)
 
 
 @given(
-    'a set of which gates tell what is let through, full at {rate:d} a second'
+    'a set whose demand follows the admitted calls, full at {rate:d} a second'
 )
-def step_follows(context, rate):
-    context.level = LevelSubject(0)
-    context.level.full_per_s = rate
+def step_demand_follows(context, rate):
+    context.admission = AdmissionSubject(0)
+    context.admission.full_per_s = rate
 
 
-@given('room for {room:d} calls a second')
-def step_room(context, room):
-    context.level.room_per_s = room
+@given('capacity for {capacity:d} calls a second')
+def step_capacity(context, capacity):
+    context.admission.capacity_per_s = capacity
 
 
 @when(
-    '{rate:d} calls a second of priority {priority:d} come for {length_s:d} '
-    's, and half find no room'
+    '{rate:d} calls a second of priority {priority:d} arrive for '
+    '{length_s:d} s, and half are refused'
 )
 def step_half(context, rate, priority, length_s):
-    context.level.refused_share = 0.5
+    context.admission.refused_share = 0.5
     kinds = {f'priority {priority}': (rate, {'priority': priority})}
-    context.level.play(kinds, length_s)
+    context.admission.send_calls(kinds, length_s)
 
 
-@when('{rate:d} calls a second of priority 1 come for {length_s:d} s')
-def step_come(context, rate, length_s):
-    context.level.play({'priority 1': (rate, {})}, length_s)
+@when('{rate:d} calls a second of priority 1 arrive for {length_s:d} s')
+def step_arrive_for(context, rate, length_s):
+    context.admission.send_calls({'priority 1': (rate, {})}, length_s)
 
 
 @when(
-    '{one:d} of priority 0 and {other:d} of priority 3 come a second for 6 s'
+    '{one:d} of priority 0 and {other:d} of priority 3 arrive a second for 6 s'
 )
 def step_two(context, one, other):
     kinds = {
         'priority 0': (one, {'priority': 0}),
         'priority 3': (other, {'priority': 3}),
     }
-    context.level.play(kinds, 6)
+    context.admission.send_calls(kinds, 6)
 
 
-@when('workspaces come for 6 s with 20, 30 and 200 calls a second')
+@when('workspaces send 20, 30 and 200 calls a second for 6 s')
 def step_workspaces(context):
     kinds = {
         f'workspace "{number}"': (rate, {'workspace': f'{number}'})
         for number, rate in enumerate((20, 30, 200))
     }
-    context.level.play(kinds, 6)
+    context.admission.send_calls(kinds, 6)
 
 
-@when('{rate:d} calls of targets come a second for {length_s:d} s')
+@when('{rate:d} calls of targets arrive a second for {length_s:d} s')
 def step_nested(context, rate, length_s):
     kinds = {'priority 1': (rate, {'is_nested': True})}
-    context.level.play(kinds, length_s)
+    context.admission.send_calls(kinds, length_s)
 
 
-@when('{one:d} calls and {other:d} hasty ones come a second for 6 s')
-def step_hasty(context, one, other):
+@when('{one:d} calls and {other:d} early retries arrive a second for 6 s')
+def step_early_retries(context, one, other):
     kinds = {
         'the others': (one, {}),
-        'the hasty ones': (other, {'is_hasty': True}),
+        'the early retries': (other, {'is_hasty': True}),
     }
-    context.level.play(kinds, 6)
+    context.admission.send_calls(kinds, 6)
 
 
-@when('gates tell nothing for {length_s:d} s')
+@when('gates report nothing for {length_s:d} s')
 def step_silent(context, length_s):
-    context.level.now_s += length_s
-    context.level.seen.clear()
+    context.admission.now_s += length_s
+    context.admission.seen.clear()
 
 
 @when(
-    'the room grows to {room:d} calls a second, and {rate:d} come for '
+    'the capacity grows to {capacity:d} calls a second, and {rate:d} arrive '
+    'for '
     '{length_s:d} s'
 )
-def step_grow(context, room, rate, length_s):
-    context.level.room_per_s = room
-    context.level.play({'priority 1': (rate, {})}, length_s)
+def step_grow(context, capacity, rate, length_s):
+    context.admission.capacity_per_s = capacity
+    context.admission.send_calls({'priority 1': (rate, {})}, length_s)
 
 
-@then('all of priority 1 are let through')
+@then('all of priority 1 are admitted')
 def step_all(context):
-    assert context.level.find_percent('priority 1', 0, 99) == 100
+    assert context.admission.find_percent('priority 1', 0, 99) == 100
 
 
-@then('all calls are let through again')
-def step_again(context):
-    context.level.play({'priority 1': (100, {})}, 0.5, is_told=False)
-    assert all(found for _at_s, _name, found in context.level.seen)
+@then('all calls are admitted again')
+def step_all_again(context):
+    context.admission.send_calls(
+        {'priority 1': (100, {})}, 0.5, is_reported=False
+    )
+    assert all(found for _at_s, _name, found in context.admission.seen)
 
 
-@then('{least:d} to {most:d} % of {name} are let through in the last second')
+@then('{least:d} to {most:d} % of {name} are admitted in the last second')
 def step_share(context, least, most, name):
-    level = context.level
-    found = level.find_percent(name, level.now_s - LAST_S, level.now_s)
+    admission = context.admission
+    found = admission.find_percent(
+        name, admission.now_s - LAST_SECOND_S, admission.now_s
+    )
     assert least <= found <= most, found
 
 
-@then(
-    '{least:d} to {most:d} % of {name} are let through in the last 4 seconds'
-)
+@then('{least:d} to {most:d} % of {name} are admitted in the last 4 seconds')
 def step_long_share(context, least, most, name):
-    level = context.level
-    found = level.find_percent(name, level.now_s - 4, level.now_s)
+    admission = context.admission
+    found = admission.find_percent(name, admission.now_s - 4, admission.now_s)
     assert least <= found <= most, found
 
 
-@then('the shares let through in the last 6 seconds differ by 12 % at most')
+@then('the admitted shares in the last 6 seconds differ by 12 % at most')
 def step_steady(context):
-    level = context.level
+    admission = context.admission
     shares = [
-        level.find_percent('priority 1', level.now_s - back, at_s)
+        admission.find_percent('priority 1', admission.now_s - back, at_s)
         for back in range(6, 0, -1)
-        for at_s in (level.now_s - back + 1,)
+        for at_s in (admission.now_s - back + 1,)
     ]
     assert max(shares) - min(shares) <= 12, shares
 
 
 @given('a daemon that has run for {days:d} days')
 def step_long(context, days):
-    context.level = LevelSubject(200)
-    context.level.now_s = days * 86_400.0
+    context.admission = AdmissionSubject(200)
+    context.admission.now_s = days * 86_400.0
 
 
-@when('a set is forgotten while a call is under way, and tells of its demand')
+@when('a set is dropped during a call, and its demand is reported again')
 def step_forget(context):
-    level = context.level
-    level.play({'priority 1': (100, {})}, 2)
-    level.table.retain(frozenset())
-    level.table.take_demand(SET, 200, level.now_s)
+    admission = context.admission
+    admission.send_calls({'priority 1': (100, {})}, 2)
+    admission.table.retain(frozenset())
+    admission.table.take_demand(SET, 200, admission.now_s)
 
 
-@then('the call may end as refused, and the next one is let through')
+@then('the call may still be refused, and the next one is admitted')
 def step_forgotten(context):
-    level = context.level
+    admission = context.admission
     call = overload.AskedCall(SET, base.RequestId('id-1'), WORK_MS, 1)
-    level.table.note_refused(call, level.now_s - 0.1)
-    assert level.table.judge(call, level.now_s).is_admitted
+    admission.table.note_refused(call, admission.now_s - 0.1)
+    assert admission.table.judge(call, admission.now_s).is_admitted
 
 
-@then('for any demands and room the shares fit the room and are max-min fair')
+@then('for any demands and capacity the shares fit it and are max-min fair')
 def step_fair(_context):
     amounts = st.lists(st.floats(0, 1000), min_size=1, max_size=20)
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(amounts, st.floats(0, 5000))
-    def check(asked, room):
-        level = overload.find_fair_level(asked, room)
-        got = [min(amount, level) for amount in asked]
-        slack = 1e-6 * (1 + room)
-        assert sum(got) <= room + slack, (got, room)
-        # All room is used, or everybody has what it asks for.
-        assert sum(got) >= min(sum(asked), room) - slack, (got, room)
+    def check(demands, capacity):
+        level = overload.find_fair_level(demands, capacity)
+        got = [min(demand, level) for demand in demands]
+        slack = 1e-6 * (1 + capacity)
+        assert sum(got) <= capacity + slack, (got, capacity)
+        # All capacity is used, or every demand is met.
+        assert sum(got) >= min(sum(demands), capacity) - slack, (got, capacity)
 
     check()
 
 
-@when('{count:d} workspaces ask for the same')
+@when('{count:d} workspaces add the same work')
 def step_many(context, count):
-    context.groups = overload.WorkspaceGroups()
+    context.work = overload.WorkspaceWork()
     for number in range(count):
-        context.groups.note(base.WorkspaceName(f'w{number}'), WORK_MS)
+        context.work.add(base.WorkspaceName(f'w{number}'), WORK_MS)
     context.work_ms = count * WORK_MS
 
 
-@then('at most {most:d} of them are counted apart, and no work is lost')
+@then('at most {most:d} sums are kept, and no work is lost')
 def step_bounded(context, most):
-    works_ms = list(context.groups.list_ms())
+    works_ms = list(context.work.list_work_ms())
     assert len(works_ms) <= most, len(works_ms)
     assert sum(works_ms) == context.work_ms, works_ms
 
 
 @then(
-    'a caller of {longest_ms:d} ms is hasty after {soon_ms:d} ms, and is not '
-    'after {later_ms:d} ms'
+    'a retry is early after {soon_ms:d} ms of a {longest_ms:d} ms timeout, '
+    'not after {later_ms:d} ms'
 )
-def step_is_hasty(_context, longest_ms, soon_ms, later_ms):
+def step_is_early(_context, longest_ms, soon_ms, later_ms):
     assert overload.is_hasty(soon_ms, longest_ms)
     assert not overload.is_hasty(later_ms, longest_ms)
 
 
-def _ask_for(shares, asked) -> None:
+def _note_asked(shares, asked) -> None:
     for number, count in enumerate(asked):
         for _ in range(count):
             shares.note_asked(base.WorkspaceName(f'{number}'), WORK_MS, 0.0)
 
 
-def _serve(shares, served) -> None:
+def _note_served(shares, served) -> None:
     for number, count in enumerate(served):
         for _ in range(count):
             shares.note_served(base.WorkspaceName(f'{number}'), WORK_MS, 0.0)
 
 
-@given('a gate whose workspaces ask for {one:d} and {other:d} calls')
+@given('a gate whose workspaces send {one:d} and {other:d} calls')
 def step_shares(context, one, other):
     context.shares = overload.RoomShares()
-    _ask_for(context.shares, (one, other))
+    _note_asked(context.shares, (one, other))
 
 
 @given(
-    'a gate whose workspaces ask for {one:d} and {other:d} calls, of which '
+    'a gate whose workspaces send {one:d} and {other:d} calls, of which '
     '{served:d} of the first are served'
 )
 def step_shares_served(context, one, other, served):
     context.shares = overload.RoomShares()
-    _ask_for(context.shares, (one, other))
-    _serve(context.shares, (served, 0))
+    _note_asked(context.shares, (one, other))
+    _note_served(context.shares, (served, 0))
 
 
 @when('{one:d} of the first and {other:d} of the other are served')
 def step_serve(context, one, other):
-    _serve(context.shares, (one, other))
+    _note_served(context.shares, (one, other))
 
 
 def _judge(context, name: str) -> overload.Standing:
     return context.shares.judge(base.WorkspaceName(name), WORK_MS, 0.0)
 
 
-@then('the first one has had more than its share, and the other has not')
+@then('the first one got more than its fair share, and the other did not')
 def step_over(context):
     assert _judge(context, '0') is overload.Standing.OVER
     assert _judge(context, '1') is not overload.Standing.OVER
@@ -339,7 +348,7 @@
     assert _judge(context, base.NO_WORKSPACE) is overload.Standing.USUAL
 
 
-@when('a request is rejected at the source with {percent:d} % let through')
+@when('a request is rejected at the source with {percent:d} % admitted')
 def step_log(context, percent):
     stream = io.StringIO()
     handler = logging.StreamHandler(stream)
@@ -371,8 +380,8 @@
 
 
 @then(
-    'its line tells {share:d} % let through, a demand of {demand:d} % and its '
-    'age'
+    'its log line has {share:d} % admitted, a demand of {demand:d} % and '
+    'its age'
 )
 def step_line(context, share, demand):
     (line,) = context.records
@@ -390,7 +399,7 @@
 
 
 class GateSubject:
-    """A gate on a clock that stands still, and the calls that got a place."""
+    """A gate whose clock is stopped, and the calls that got a place."""
 
     def __init__(self, places: int, work_ms: float):
         self.loop = asyncio.new_event_loop()
@@ -399,11 +408,11 @@
         self.gate.work.mean_ms = work_ms
         self.tasks: list[asyncio.Task] = []
         self.running: list[mesh.Ticket] = []
-        #: All that got a place, in that order.
+        #: All calls that got a place, in that order.
         self.admitted: list[mesh.Ticket] = []
 
     def arrive(self, workspace=base.NO_WORKSPACE) -> None:
-        """Let a call arrive."""
+        """Send a call to the gate."""
         ticket = mesh.Ticket(
             base.RouteName('look-up'),
             1,
@@ -422,18 +431,18 @@
         self.settle()
 
     def settle(self) -> None:
-        """Let everything that can go on go on."""
+        """Run all tasks that are ready."""
         for _ in range(5):
             self.loop.run_until_complete(asyncio.sleep(0))
 
     def end_one(self) -> None:
-        """Let the first call end."""
+        """End the call that started first."""
         ticket = self.running.pop(0)
         self.gate.leave(ticket, _gate.CallResult.DONE, 100.0)
         self.settle()
 
     def close(self) -> None:
-        """Give up the calls that wait."""
+        """Cancel the waiting calls."""
         for task in self.tasks:
             task.cancel()
         self.settle()
@@ -464,20 +473,20 @@
         context.subject.end_one()
 
 
-@then('it tells a demand of {percent:d} %')
+@then('it reports a demand of {percent:d} %')
 def step_demand(context, percent):
     context.report = context.subject.gate.make_report(base.RouteName('x'))
     assert context.report.demand_percent == percent, context.report
 
 
-@then('a daemon that reads its answer is told the same')
+@then('a daemon that decodes its answer reads the same demand')
 def step_hop(context):
     answer = mesh.CallAnswer(mesh.CallOutcome.NOT_RUN, load=context.report)
-    told = _hop.decode_answer(_hop.encode_answer(answer)).load
-    assert told.demand_percent == context.report.demand_percent, told
+    decoded = _hop.decode_answer(_hop.encode_answer(answer)).load
+    assert decoded.demand_percent == context.report.demand_percent, decoded
 
 
-@then('those of the workspaces {names} have had a place')
+@then('the calls of the workspaces {names} got a place')
 def step_placed(context, names):
     found = [ticket.workspace for ticket in context.subject.admitted]
     assert found == names.split(', '), found
--- a/sedgering/mesh/_quota_hop.py
+++ b/sedgering/mesh/_quota_hop.py
@@ -1,4 +1,4 @@
-"""Questions of daemons for tokens of workspaces."""
+"""Encodes and decodes the token requests between daemons."""
 
 import msgspec
 
@@ -7,58 +7,61 @@
 from sedgering import transport
 
 __all__ = [
-    'decode_ask',
     'decode_grant',
-    'encode_ask',
+    'decode_request',
     'encode_grant',
+    'encode_request',
     'is_ask',
 ]
 
 PATH = '/quota'
-MARK = 'sedgering-quota'
+#: Header that marks a request as a token request.
+MARK_HEADER = 'sedgering-quota'
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ASK_DECODER = msgspec.msgpack.Decoder(quota.QuotaAsk)
-_GRANT_DECODER = msgspec.msgpack.Decoder(quota.QuotaGrant)
+_REQUEST_DECODER = msgspec.msgpack.Decoder(quota.TokenRequest)
+_GRANT_DECODER = msgspec.msgpack.Decoder(quota.TokenGrant)
 
 
-def encode_ask(ask: quota.QuotaAsk) -> bytes:
-    """Encode a question to a keeper."""
-    headers = [('Host', 'peer'), (MARK, '1')]
+def encode_request(token_request: quota.TokenRequest) -> bytes:
+    """Encode a token request as an HTTP request."""
+    headers = [('Host', 'peer'), (MARK_HEADER, '1')]
     return transport.encode_request(
-        transport.Request('POST', PATH, headers, _ENCODER.encode(ask), True)
+        transport.Request(
+            'POST', PATH, headers, _ENCODER.encode(token_request), True
+        )
     )
 
 
 def is_ask(request: transport.Request) -> bool:
-    """Say whether another daemon asks for tokens."""
-    return request.find(MARK) is not None
+    """Whether an HTTP request is a token request of another daemon."""
+    return request.find(MARK_HEADER) is not None
 
 
-def decode_ask(request: transport.Request) -> quota.QuotaAsk:
-    """Decode a question.
+def decode_request(request: transport.Request) -> quota.TokenRequest:
+    """Decode a token request.
 
     Raises
     ------
     msgspec.DecodeError
-        When it is none.
+        When the body is not a valid token request.
     """
-    return _ASK_DECODER.decode(request.body)
+    return _REQUEST_DECODER.decode(request.body)
 
 
-def encode_grant(grant: quota.QuotaGrant) -> transport.Response:
-    """Encode the answer."""
+def encode_grant(grant: quota.TokenGrant) -> transport.Response:
+    """Encode the answer to a token request."""
     return transport.Response(
         _peer_answers.STATUS_OK, [], _ENCODER.encode(grant)
     )
 
 
-def decode_grant(response: transport.Response) -> quota.QuotaGrant:
-    """Decode the answer.
+def decode_grant(response: transport.Response) -> quota.TokenGrant:
+    """Decode the answer to a token request.
 
     Raises
     ------
     PeerError
-        When it is none.
+        When the answer is an error or is not valid.
     """
     return _peer_answers.decode_peer_answer(response, _GRANT_DECODER.decode)
--- a/sedgering/mesh/_quotas.py
+++ b/sedgering/mesh/_quotas.py
@@ -1,7 +1,7 @@
-"""Quotas of workspaces at one daemon: who waits for tokens, and who asks.
+"""Enforces the quotas of workspaces at one daemon.
 
-What is decided is in `quota`; here are the messages, and the requests that
-wait for their answers.
+The package `quota` decides.  This module sends and answers token requests,
+and holds the requests of callers that wait for tokens.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from sedgering.mesh import _fleet
 from sedgering.mesh import _messages
 from sedgering.mesh import _peers
+from sedgering.mesh import _quota_client
 from sedgering.mesh import _quota_hop
-from sedgering.mesh import _quota_shard
 from sedgering.mesh import _settings
 from sedgering import observability
 from sedgering import quota
@@ -32,43 +32,44 @@
 
 #: Longest wait of a request for its token; a round trip takes 1 to 3 ms.
 WAIT_S = 0.15
-#: Of it, the time for the first of its lanes.
+#: Part of that wait for the first partition that is asked.
 FIRST_WAIT_S = 0.05
-#: Links narrower than this are spared: a keeper gets some 200 messages a
-#: second.
-LEAST_LINK_MBPS = 10
-#: Workspaces with metrics of their own; the others are counted together.
-TOLD_LIMIT = 16
-REST = 'rest'
+#: Hosts with narrower links are asked last: an allocator gets some 200
+#: messages a second.
+MIN_LINK_MBPS = 10
+#: Workspaces with a metric label of their own; the others share one.
+LABELLED_LIMIT = 16
+OTHERS_LABEL = 'rest'
 #: Bounds of the time after which a refused caller returns, as shares of the
-#: time until there is room: those that were refused together are spread.
-PAUSE_SHARES = (1.0, 1.6)
-LEAST_PAUSE_S = 0.05
-#: Bits of the number that tells lifetimes of a daemon apart.
-LIFE_BITS = 48
-#: States of a target whose daemon stays.
+#: time until there are tokens.  The spread keeps callers that were refused
+#: together from returning together.
+RETRY_AFTER_SHARES = (1.0, 1.6)
+MIN_RETRY_AFTER_S = 0.05
+#: Length of the random id that tells lifetimes of a daemon apart.
+LIFETIME_ID_BITS = 48
+#: States of a target whose daemon stays in the fleet.
 _STAYING = frozenset((_messages.TargetState.READY, _messages.TargetState.DOWN))
 
 
 class WorkspaceQuotas:
-    """Grants and refuses requests of workspaces.
+    """Grants and refuses tokens to requests of workspaces.
 
     Parameters
     ----------
     identity : MeshIdentity
-        Who this daemon is.
+        Identity of this daemon.
     bounds : QuotaBounds or None
-        None where no quotas are counted.
+        None where no quotas are enforced.
     fleet : FleetTable
         Rows of all daemons.
     peers : PeerTable
-        Connections to them.
+        Connections to the other daemons.
     counts : RequestCounts
-        Where grants and refusals are counted.
+        Counts granted, refused and returned tokens.
     rng : random.Random
-        Spreads callers that return.
+        Spreads the returns of refused callers, and the renewals of leases.
     now_s : callable
-        Time of the event loop.
+        Returns the time of the event loop.
     """
 
     def __init__(
@@ -89,43 +90,47 @@
         self.rng = rng
         self.now_s = now_s
         self.plans: dict[base.WorkspaceName, quota.QuotaPlan] = {}
-        self.purse = quota.QuotaPurse()
-        self.keeper = quota.QuotaKeeper(rng.getrandbits(LIFE_BITS))
-        self.hosts = quota.HostLog()
-        #: Hosts whose daemons may keep shards, and those with wide links.
+        self.token_cache = quota.TokenCache()
+        self.allocator = quota.TokenAllocator(
+            rng.getrandbits(LIFETIME_ID_BITS)
+        )
+        self.host_tracker = quota.HostTracker()
+        #: Hosts that may be allocators, and those of them with wide links.
         self._eligible: tuple[frozenset, frozenset] = (frozenset(),) * 2
         self._shards = 0
         self._is_leaving = False
-        self._drivers: dict[quota.ShardId, _quota_shard.ShardDriver] = {}
-        self._lanes_of: dict[
-            base.WorkspaceName, list[_quota_shard.ShardDriver]
+        self._clients: dict[
+            quota.PartitionId, _quota_client.PartitionClient
+        ] = {}
+        self._clients_by_workspace: dict[
+            base.WorkspaceName, list[_quota_client.PartitionClient]
         ] = {}
-        self._tasks: dict[quota.ShardId, asyncio.Task] = {}
+        self._tasks: dict[quota.PartitionId, asyncio.Task] = {}
         #: When a quota was last lowered.
-        self.cut_at_s = -math.inf
-        self._told: frozenset[base.WorkspaceName] = frozenset()
+        self.lowered_at_s = -math.inf
+        self._labelled: frozenset[base.WorkspaceName] = frozenset()
 
     def is_counted(self, workspace: base.WorkspaceName) -> bool:
         """Whether requests of a workspace need tokens."""
         return workspace in self.plans
 
     def take(self, workspace: base.WorkspaceName) -> quota.Permit | None:
-        """Take a token that is held, if there is one; count the request."""
+        """Count a request, and take a cached token if there is one."""
         now_s = self.now_s()
-        purse = self.purse
-        purse.note_demand(workspace, now_s)
-        token = purse.take(workspace, now_s)
+        token_cache = self.token_cache
+        token_cache.note_demand(workspace, now_s)
+        token = token_cache.take(workspace, now_s)
         if token is None:
             return None
-        if purse.is_low(workspace, now_s):
-            self.find_lanes(workspace)[0].wake()
+        if token_cache.is_low(workspace, now_s):
+            self.find_clients(workspace)[0].wake()
         self._count('quota_granted', workspace)
         return token
 
     async def wait(
         self, workspace: base.WorkspaceName, until_s: float
     ) -> quota.Permit | None:
-        """Ask for a token; return None when there is none in time.
+        """Request a token; return None when none is granted in time.
 
         Parameters
         ----------
@@ -137,9 +142,9 @@
         start_s = now_s = self.now_s()
         token = None
         wait_s = FIRST_WAIT_S
-        for lane in self.find_lanes(workspace):
-            if not lane.find_dry_s(workspace, now_s):
-                token = await lane.wait(
+        for client in self.find_clients(workspace):
+            if not client.find_exhausted_s(workspace, now_s):
+                token = await client.wait(
                     workspace, min(until_s, start_s + wait_s)
                 )
             if token is not None:
@@ -151,55 +156,59 @@
         return token
 
     def give_back(self, token: quota.Permit) -> None:
-        """Take back the token of a request that has not run."""
-        self.purse.give_back(token, self.now_s())
+        """Return the token of a request that has not run to the cache."""
+        self.token_cache.put_back(token, self.now_s())
         self._count('quota_returned', token.workspace)
 
     def find_pause_s(self, workspace: base.WorkspaceName) -> float:
-        """Return when a caller that was refused may find room."""
+        """Return the time after which a refused caller may find a token."""
         now_s = self.now_s()
         waits_s = [
             max(
-                lane.find_dry_s(workspace, now_s),
-                lane.link.find_gap_s(now_s),
+                client.find_exhausted_s(workspace, now_s),
+                client.session.find_unused_s(now_s),
             )
-            for lane in self.find_lanes(workspace)
+            for client in self.find_clients(workspace)
         ]
-        wait_s = max(min(waits_s, default=0.0), LEAST_PAUSE_S)
-        return wait_s * self.rng.uniform(*PAUSE_SHARES)
+        wait_s = max(min(waits_s, default=0.0), MIN_RETRY_AFTER_S)
+        return wait_s * self.rng.uniform(*RETRY_AFTER_SHARES)
 
     def answer(self, request: transport.Request) -> transport.Response:
-        """Answer another daemon that asks for tokens."""
+        """Answer a token request of another daemon."""
         try:
-            ask = _quota_hop.decode_ask(request)
+            token_request = _quota_hop.decode_request(request)
         except (msgspec.DecodeError, RecursionError) as error:
-            LOG.warning('quota ask refused', extra={'detail': str(error)})
+            LOG.warning(
+                'quota token request invalid', extra={'detail': str(error)}
+            )
             return transport.make_json_response(400, {'error': str(error)})
         if not self.plans:
             return transport.make_json_response(
-                503, {'error': 'no quotas are known'}
+                503, {'error': 'this daemon has no quotas in force'}
             )
         try:
-            grant = self.keeper.answer(ask, self.now_s())
+            grant = self.allocator.answer(token_request, self.now_s())
         except ValueError as error:
-            LOG.warning('quota ask refused', extra={'detail': str(error)})
+            LOG.warning(
+                'quota token request invalid', extra={'detail': str(error)}
+            )
             return transport.make_json_response(400, {'error': str(error)})
         return _quota_hop.encode_grant(grant)
 
-    async def ask(
-        self, host: base.HostId, ask: quota.QuotaAsk
-    ) -> quota.QuotaGrant | None:
-        """Ask a daemon for tokens; return None when it does not answer."""
+    async def send(
+        self, host: base.HostId, token_request: quota.TokenRequest
+    ) -> quota.TokenGrant | None:
+        """Send a token request to a host; None when it does not answer."""
         if host == self.identity.host:
-            return self.keeper.answer(ask, self.now_s())
+            return self.allocator.answer(token_request, self.now_s())
         row = self.fleet.members.get(host)
         if row is None:
             return None
         peer = self.peers.find(row)
-        data = _quota_hop.encode_ask(ask)
+        data = _quota_hop.encode_request(token_request)
         try:
-            async with asyncio.timeout(_quota_shard.ASK_S):
-                answer = await peer.ask(data, 'quota keeper silent')
+            async with asyncio.timeout(_quota_client.REQUEST_TIMEOUT_S):
+                answer = await peer.ask(data, 'quota token request failed')
         except TimeoutError:
             return None
         if answer is None:
@@ -208,7 +217,7 @@
             return _quota_hop.decode_grant(answer)
         except exceptions.PeerError as error:
             LOG.info(
-                'quota grant refused',
+                'quota token grant invalid',
                 extra={
                     'peer': host,
                     'code': int(error.code),
@@ -218,7 +227,13 @@
             return None
 
     def take_config(self, workspaces: Iterable[bundles.Workspace]) -> None:
-        """Put the quotas of a version in force."""
+        """Apply the quotas of a bundle version.
+
+        Parameters
+        ----------
+        workspaces : iterable of Workspace
+            Workspaces of the bundle in force.
+        """
         if self.bounds is None:
             return
         now_s = self.now_s()
@@ -226,147 +241,157 @@
         self.plans = quota.make_plans(workspaces, self.bounds)
         if self.plans == old:
             return
-        cut = frozenset(
+        lowered = frozenset(
             name
             for name in old.keys() & self.plans.keys()
             if self.plans[name].rate_per_s < old[name].rate_per_s
             or self.plans[name].capacity < old[name].capacity
         )
-        self.purse.retain(frozenset(self.plans), cut)
-        if cut:
-            self.cut_at_s = now_s
-        self.keeper.take_plans(self.plans, now_s)
+        self.token_cache.retain(frozenset(self.plans), lowered)
+        if lowered:
+            self.lowered_at_s = now_s
+        self.allocator.set_plans(self.plans, now_s)
         largest = sorted(
             self.plans, key=lambda name: -self.plans[name].rate_per_s
         )
-        self._told = frozenset(largest[:TOLD_LIMIT])
-        self._divide()
+        self._labelled = frozenset(largest[:LABELLED_LIMIT])
+        self._update_clients()
 
     def take_members(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> None:
-        """Divide the rates among other hosts."""
+        """Set the members of the fleet, which share the rates.
+
+        Parameters
+        ----------
+        members : dict of str to MemberRow
+            Rows of all daemons, by host.
+        """
         if self.bounds is None:
             return
-        self.hosts.take_hosts(members, self.now_s())
+        self.host_tracker.update(members, self.now_s())
         staying = [row for row in members.values() if row.state in _STAYING]
         eligible = (
             frozenset(row.host for row in staying),
             frozenset(
                 row.host
                 for row in staying
-                if not 0 < row.link_mbps < LEAST_LINK_MBPS
+                if not 0 < row.link_mbps < MIN_LINK_MBPS
             ),
         )
         if eligible != self._eligible:
             self._eligible = eligible
-            for driver in self._drivers.values():
-                driver.ranked = self._rank(driver.link.shard)
-        self._divide()
+            for client in self._clients.values():
+                client.ranked = self._rank_hosts(client.session.partition)
+        self._update_clients()
 
     def refresh_hosts(self, now_s: float) -> None:
-        """Count hosts no more that have left some time ago."""
-        counted = self.hosts.list_counted(now_s)
-        settled = self.hosts.list_settled(now_s)
-        self.keeper.take_hosts(counted, settled, now_s)
-        for driver in self._drivers.values():
-            driver.reserve.take_hosts(counted, settled, now_s)
+        """Update the hosts that share the rates, as their delays end."""
+        counted = self.host_tracker.list_counted(now_s)
+        established = self.host_tracker.list_established(now_s)
+        self.allocator.set_hosts(counted, established, now_s)
+        for client in self._clients.values():
+            client.standalone.set_hosts(counted, established, now_s)
 
     def leave(self) -> None:
-        """Lend nothing more: others are about to count one host less."""
+        """Start no more leases: others will soon count one host less."""
         now_s = self.now_s()
         self._is_leaving = True
-        for driver in self._drivers.values():
-            driver.link.is_leaving = True
-            driver.reserve.end(now_s)
+        for client in self._clients.values():
+            client.session.is_leaving = True
+            client.standalone.deactivate(now_s)
 
     def stop(self) -> None:
-        """Ask nobody any more."""
+        """Stop sending token requests."""
         for task in self._tasks.values():
             task.cancel()
 
     def find_gauges(self) -> dict[str, float]:
-        """Return present values; none where nothing is counted."""
+        """Return the values of the gauges; none without quotas."""
         if not self.plans:
             return {}
-        links = [driver.link for driver in self._drivers.values()]
+        sessions = [client.session for client in self._clients.values()]
         now_s = self.now_s()
         return {
-            'quota_tokens_held': self.purse.count_held(now_s),
+            'quota_tokens_held': self.token_cache.count_held(now_s),
             'quota_shards_kept': sum(
-                self.keeper.find_share(shard) > 0
-                for shard in self.keeper.shards
+                self.allocator.find_leased_share(partition) > 0
+                for partition in self.allocator.partitions
+            ),
+            'quota_shards_alone': sum(
+                session.is_standalone(now_s) for session in sessions
             ),
-            'quota_shards_alone': sum(link.is_alone(now_s) for link in links),
         }
 
-    def find_lanes(
+    def find_clients(
         self, workspace: base.WorkspaceName
-    ) -> list[_quota_shard.ShardDriver]:
-        """Return the lanes of a workspace, the one to ask first first."""
-        lanes = self._lanes_of.get(workspace, [])
-        if lanes and not lanes[0].is_sound:
-            return lanes[::-1]
-        return lanes
-
-    def _divide(self) -> None:
-        """Follow the number of shards, and give each its workspaces."""
+    ) -> list[_quota_client.PartitionClient]:
+        """Return the clients of a workspace in the order to ask them."""
+        clients = self._clients_by_workspace.get(workspace, [])
+        if clients and not clients[0].is_healthy:
+            return clients[::-1]
+        return clients
+
+    def _update_clients(self) -> None:
+        """Match the clients to the number of shards and to the plans."""
         now_s = self.now_s()
-        shards = quota.count_shards(len(self.hosts.present))
+        shards = quota.count_shards(len(self.host_tracker.present))
         if not self.plans:
             shards = 0
         if shards != self._shards:
             self._shards = shards
-            self._replace_drivers(now_s)
-        self._lanes_of = {
-            name: self._choose_lanes(name) for name in self.plans
+            self._replace_clients(now_s)
+        self._clients_by_workspace = {
+            name: self._order_clients(name) for name in self.plans
         }
         names = frozenset(self.plans)
-        for shard, driver in self._drivers.items():
-            driver.retain(names)
-            driver.reserve.take_plans(
+        for partition, client in self._clients.items():
+            client.retain(names)
+            client.standalone.set_plans(
                 {
                     name: plan
                     for name, plan in self.plans.items()
-                    if quota.holds_workspace(shard, name)
+                    if quota.holds_workspace(partition, name)
                 },
                 now_s,
             )
         self.refresh_hosts(now_s)
 
-    def _replace_drivers(self, now_s: float) -> None:
-        """Start with other shards: what was lent ends by itself."""
+    def _replace_clients(self, now_s: float) -> None:
+        """Make the clients of other shards; former leases run to their end."""
         self.stop()
-        for driver in self._drivers.values():
-            driver.refuse_all()
-        self._drivers = {
-            shard: _quota_shard.ShardDriver(self, shard, now_s)
-            for shard in quota.list_lanes(self._shards)
+        for client in self._clients.values():
+            client.refuse_all()
+        self._clients = {
+            partition: _quota_client.PartitionClient(self, partition, now_s)
+            for partition in quota.list_partitions(self._shards)
         }
         loop = asyncio.get_running_loop()
         self._tasks = {}
-        for shard, driver in self._drivers.items():
-            driver.ranked = self._rank(shard)
-            driver.link.is_leaving = self._is_leaving
-            self._tasks[shard] = loop.create_task(driver.run())
+        for partition, client in self._clients.items():
+            client.ranked = self._rank_hosts(partition)
+            client.session.is_leaving = self._is_leaving
+            self._tasks[partition] = loop.create_task(client.run())
 
-    def _rank(self, shard: quota.ShardId) -> list[base.HostId]:
-        """Rank the hosts for a shard; those with narrow links come last."""
+    def _rank_hosts(self, partition: quota.PartitionId) -> list[base.HostId]:
+        """Rank the possible allocators; those with narrow links come last."""
         hosts, wide = self._eligible
-        ranked = quota.rank_keepers(hosts, shard)
+        ranked = quota.rank_allocators(hosts, partition)
         return sorted(ranked, key=lambda host: host not in wide)
 
-    def _choose_lanes(
+    def _order_clients(
         self, workspace: base.WorkspaceName
-    ) -> list[_quota_shard.ShardDriver]:
-        shards = quota.find_lanes(workspace, self._shards)
-        first = quota.choose_lane(self.identity.host, workspace)
+    ) -> list[_quota_client.PartitionClient]:
+        """Return the clients of a workspace, the one to ask first first."""
+        partitions = quota.find_partitions(workspace, self._shards)
+        first = quota.choose_first_partition(self.identity.host, workspace)
         return [
-            self._drivers[shard] for shard in shards[first:] + shards[:first]
+            self._clients[partition]
+            for partition in partitions[first:] + partitions[:first]
         ]
 
     def _count(self, kind: str, workspace: base.WorkspaceName) -> None:
-        label = workspace if workspace in self._told else REST
+        label = workspace if workspace in self._labelled else OTHERS_LABEL
         self.counts.count(kind, label)
 
 
@@ -379,7 +404,10 @@
     rng: random.Random,
     now_s: Callable[[], float],
 ) -> WorkspaceQuotas:
-    """Make the quotas of a daemon; see `WorkspaceQuotas`."""
+    """Make the quotas of a daemon from its settings.
+
+    See `WorkspaceQuotas` for the parameters.
+    """
     bounds = None
     if mesh_settings.quota_window_ms:
         bounds = quota.QuotaBounds(
--- a/sedgering/overload/__init__.py
+++ b/sedgering/overload/__init__.py
@@ -1,13 +1,13 @@
-"""Who is served where there is too little room: decisions, without I/O."""
+"""Decides which calls are served under overload; does no I/O."""
 
-from sedgering.overload._groups import find_fair_level
-from sedgering.overload._groups import WorkspaceGroups
-from sedgering.overload._level import AskedCall
-from sedgering.overload._level import LevelTable
-from sedgering.overload._level import Verdict
-from sedgering.overload._returns import is_hasty
-from sedgering.overload._returns import REJECTED_AFTER_SHARES
-from sedgering.overload._returns import RETRY_AFTER_SHARES
+from sedgering.overload._admission import AskedCall
+from sedgering.overload._admission import LevelTable
+from sedgering.overload._admission import Verdict
+from sedgering.overload._fair_share import find_fair_level
+from sedgering.overload._fair_share import WorkspaceWork
+from sedgering.overload._retry_after import is_hasty
+from sedgering.overload._retry_after import REJECTED_AFTER_SHARES
+from sedgering.overload._retry_after import RETRY_AFTER_SHARES
 from sedgering.overload._shares import RoomShares
 from sedgering.overload._shares import Standing
 
@@ -19,7 +19,7 @@
     'RoomShares',
     'Standing',
     'Verdict',
-    'WorkspaceGroups',
+    'WorkspaceWork',
     'find_fair_level',
     'is_hasty',
 ]
--- a/sedgering/quota/__init__.py
+++ b/sedgering/quota/__init__.py
@@ -1,59 +1,62 @@
-"""Quotas of workspaces, kept by the whole fleet without a coordinator.
+"""Workspace quotas, enforced by all daemons without a coordinator.
 
-The tokens of a workspace come from buckets of daemons that are ranked by a
-hash of its shard; each daemon lends its part of every rate to the one that it
-asks.
-Decisions only: no sockets, clocks or tasks (docs/design/0020).
+Each rate is divided equally among the hosts.  Workspaces are hashed to
+shards, and daemons are ranked by a hash of each shard.  The first in rank
+that answers is the allocator: the other daemons lease it their shares of the
+rates, it fills token buckets with them and grants the tokens.
+
+This package only decides; it uses no sockets, clocks or tasks
+(docs/design/0020).
 """
 
-from sedgering.quota._book import ShardBook
-from sedgering.quota._hosts import HostLog
-from sedgering.quota._keeper import QuotaKeeper
-from sedgering.quota._link import LEASE_S
-from sedgering.quota._link import ShardLink
-from sedgering.quota._messages import QuotaAsk
-from sedgering.quota._messages import QuotaGrant
-from sedgering.quota._messages import QuotaNeed
+from sedgering.quota._allocator import TokenAllocator
+from sedgering.quota._buckets import LeasedBuckets
+from sedgering.quota._hosts import HostTracker
 from sedgering.quota._messages import QuotaStamp
+from sedgering.quota._messages import TokenGrant
+from sedgering.quota._messages import TokenNeed
+from sedgering.quota._messages import TokenRequest
 from sedgering.quota._plan import make_plans
 from sedgering.quota._plan import QuotaBounds
 from sedgering.quota._plan import QuotaPlan
-from sedgering.quota._plan import TOKEN_S
-from sedgering.quota._purse import Permit
-from sedgering.quota._purse import QuotaPurse
-from sedgering.quota._ranking import choose_lane
+from sedgering.quota._plan import TOKEN_LIFETIME_S
+from sedgering.quota._ranking import choose_first_partition
 from sedgering.quota._ranking import count_shards
-from sedgering.quota._ranking import find_lanes
+from sedgering.quota._ranking import find_partitions
 from sedgering.quota._ranking import holds_workspace
-from sedgering.quota._ranking import LANES
-from sedgering.quota._ranking import list_lanes
-from sedgering.quota._ranking import rank_keepers
-from sedgering.quota._ranking import ShardId
-from sedgering.quota._reserve import AloneReserve
+from sedgering.quota._ranking import list_partitions
+from sedgering.quota._ranking import PartitionId
+from sedgering.quota._ranking import PARTITIONS_PER_SHARD
+from sedgering.quota._ranking import rank_allocators
+from sedgering.quota._session import AllocatorSession
+from sedgering.quota._session import LEASE_S
+from sedgering.quota._standalone import StandaloneBuckets
+from sedgering.quota._token_cache import Permit
+from sedgering.quota._token_cache import TokenCache
 
 __all__ = [
-    'AloneReserve',
-    'HostLog',
-    'LANES',
+    'AllocatorSession',
+    'HostTracker',
     'LEASE_S',
+    'LeasedBuckets',
+    'PARTITIONS_PER_SHARD',
+    'PartitionId',
     'Permit',
-    'QuotaAsk',
     'QuotaBounds',
-    'QuotaGrant',
-    'QuotaKeeper',
-    'QuotaNeed',
     'QuotaPlan',
     'QuotaStamp',
-    'ShardBook',
-    'ShardId',
-    'ShardLink',
-    'TOKEN_S',
-    'QuotaPurse',
-    'choose_lane',
+    'StandaloneBuckets',
+    'TOKEN_LIFETIME_S',
+    'TokenAllocator',
+    'TokenCache',
+    'TokenGrant',
+    'TokenNeed',
+    'TokenRequest',
+    'choose_first_partition',
     'count_shards',
-    'find_lanes',
+    'find_partitions',
     'holds_workspace',
-    'list_lanes',
+    'list_partitions',
     'make_plans',
-    'rank_keepers',
+    'rank_allocators',
 ]
--- a/sedgering/quota/_messages.py
+++ b/sedgering/quota/_messages.py
@@ -1,29 +1,29 @@
-"""What daemons say to the keeper of a shard, and what it answers."""
+"""Messages between daemons and the allocators of quota tokens."""
 
 import msgspec
 
 from sedgering import base
 from sedgering.quota import _ranking
 
-__all__ = ['QuotaAsk', 'QuotaGrant', 'QuotaNeed', 'QuotaStamp']
+__all__ = ['QuotaStamp', 'TokenGrant', 'TokenNeed', 'TokenRequest']
 
 
 class QuotaStamp(msgspec.Struct, frozen=True, array_like=True):
-    """A moment of a keeper's clock.
+    """A timestamp of an allocator's clock.
 
     Parameters
     ----------
     life : int
-        Lifetime of the keeper, drawn at its start.
+        Random id of the allocator's lifetime, drawn at its start.
     at_ms : int
-        Time of its event loop.
+        Time of its event loop, in milliseconds.
     """
 
     life: base.Count
     at_ms: base.Count
 
 
-class QuotaNeed(msgspec.Struct, frozen=True, array_like=True):
+class TokenNeed(msgspec.Struct, frozen=True, array_like=True):
     """The tokens of one workspace that a daemon needs.
 
     Parameters
@@ -31,9 +31,9 @@
     workspace : str
         Whose tokens.
     waiting : int
-        Requests that wait for one.
+        Number of requests that wait for a token.
     ahead : int
-        As many for requests that are expected.
+        Number of tokens wanted for expected requests.
     """
 
     workspace: base.WorkspaceName
@@ -41,43 +41,45 @@
     ahead: base.Count
 
 
-class QuotaAsk(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon needs, and its part of all rates.
+class TokenRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Asks an allocator for tokens, and leases it a host's rate share.
 
     Parameters
     ----------
     host : str
         The sender.
     shard : str
-        Of all its workspaces.
-    needs : tuple of QuotaNeed
-        Empty when it only lends.
+        Id of the partition that holds all the workspaces.
+    needs : tuple of TokenNeed
+        Empty when the request only starts, extends or ends a lease, or probes
+        the allocator.
     lent_from : QuotaStamp or None
-        The sender's part may be counted for `LEASE_S` from that moment, which
-        the keeper told; None when nothing is lent.  So a message that comes
-        late lends nothing.
+        Start of the lease: the allocator may use the sender's share for
+        `LEASE_S` from this timestamp, which it sent earlier.  So a request
+        that arrives late starts no lease.  None when nothing is leased.
     is_last : bool
-        Whether what was lent ends now.
+        Whether the lease ends now.
     """
 
     host: base.HostId
-    shard: _ranking.ShardId
-    needs: tuple[QuotaNeed, ...] = ()
+    shard: _ranking.PartitionId
+    needs: tuple[TokenNeed, ...] = ()
     lent_from: QuotaStamp | None = None
     is_last: bool = False
 
 
-class QuotaGrant(msgspec.Struct, frozen=True, array_like=True):
-    """Answer of a keeper.
+class TokenGrant(msgspec.Struct, frozen=True, array_like=True):
+    """Answer of an allocator to a token request.
 
     Parameters
     ----------
     stamp : QuotaStamp
-        When it was made.
+        When the answer was made.
     granted : tuple of int
-        How many for each of the needs.
+        Number of tokens granted for each of the needs.
     waits_ms : tuple of int
-        Time until there will be room; 0 where all that wait got a token.
+        Time until more tokens are expected, for each of the needs; 0 where
+        every waiting request got one.
     """
 
     stamp: QuotaStamp
--- a/sedgering/quota/_plan.py
+++ b/sedgering/quota/_plan.py
@@ -1,16 +1,16 @@
-"""What the quota of a workspace leaves to lend: rate, room, and the sum.
+"""Refill rates and bucket capacities that enforce a workspace's quota.
 
 In any window of W seconds no more than B requests of a workspace may run,
 
     B = (rate x W + burst) x (1 + excess) + slack.
 
-Each request spends a token, which is taken from some bucket at most
-`TOKEN_S` before.  All buckets together are refilled at R and hold no more
-than C, so in any window
+Each request spends a token, which was taken from a bucket at most
+`TOKEN_LIFETIME_S` earlier.  All buckets of a workspace together are refilled
+at R tokens a second and hold at most C tokens, so in any window
 
-    runs <= C + R x (W + TOKEN_S) <= B.
+    runs <= C + R x (W + TOKEN_LIFETIME_S) <= B.
 
-A plan has the part of R and C of one lane.
+A plan holds the parts of R and C that belong to one partition.
 """
 
 from collections.abc import Iterable
@@ -21,20 +21,20 @@
 from sedgering import bundle as bundles
 from sedgering.quota import _ranking
 
-__all__ = ['QuotaBounds', 'QuotaPlan', 'TOKEN_S', 'make_plans']
+__all__ = ['QuotaBounds', 'QuotaPlan', 'TOKEN_LIFETIME_S', 'make_plans']
 
-#: For how long a token may be spent by the daemon that it was granted to.
-#: Longer, more must be kept back of each burst; shorter, more of the tokens
-#: that were fetched ahead end unused.
-TOKEN_S = 0.7
-#: Share of the bound that is used.  Daemons count the fleet's hosts a little
-#: differently for the moment in which one comes.
+#: For how long a daemon may spend a token after the request that got it.  A
+#: longer lifetime leaves less of the bound for bursts; with a shorter one more
+#: prefetched tokens expire unused.
+TOKEN_LIFETIME_S = 0.7
+#: Share of the bound that is used.  For a moment after a host joins, daemons
+#: divide the rates by slightly different numbers of hosts.
 USED_SHARE = 0.97
-#: Share of it that refilling takes at most: the rest is what can be asked
-#: for at once.
+#: Largest share of the bound that refilling takes: the rest is the capacity,
+#: which can be granted at once.
 REFILL_SHARE = 0.9
-#: Share of the room that is for daemons that reach no other one.
-ALONE_SHARE = 0.3
+#: Share of the capacity for daemons that reach no allocator.
+STANDALONE_SHARE = 0.3
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
@@ -45,9 +45,9 @@
     window_s : float
         Length of the window in which requests are counted.
     excess : float
-        Share by which a quota may be passed.
+        Share by which a quota may be exceeded.
     slack : float
-        Requests by which it may be passed besides.
+        Number of requests by which it may be exceeded in addition.
     """
 
     window_s: float
@@ -56,21 +56,22 @@
 
 
 class QuotaPlan(msgspec.Struct, frozen=True):
-    """How the tokens of a workspace come about.
+    """Refill rate and capacities of a workspace in one partition.
 
     Parameters
     ----------
     rate_per_s : float
-        At which all buckets of a lane together are refilled.
+        Refill rate, in tokens a second, of all buckets together.
     capacity : float
-        Of the buckets of all keepers of a lane together.
-    alone_capacity : float
-        Of the buckets of all daemons that are alone in a lane.
+        Capacity, in tokens, of the buckets of all allocators together.
+    standalone_capacity : float
+        Capacity, in tokens, of the buckets of all daemons together that reach
+        no allocator.
     """
 
     rate_per_s: float
     capacity: float
-    alone_capacity: float
+    standalone_capacity: float
 
 
 def make_plans(
@@ -81,9 +82,9 @@
     Parameters
     ----------
     workspaces : iterable of Workspace
-        Of the bundle in force.
+        Workspaces of the bundle in force.
     bounds : QuotaBounds
-        What may run beyond.
+        What may run beyond the quotas.
     """
     return {
         workspace.name: _make_plan(workspace, bounds)
@@ -94,13 +95,15 @@
 
 def _make_plan(workspace: bundles.Workspace, bounds: QuotaBounds) -> QuotaPlan:
     rate_per_s = float(workspace.rate_per_s)
-    usual = rate_per_s * bounds.window_s + workspace.burst
-    bound = (usual * (1 + bounds.excess) + bounds.slack) * USED_SHARE
-    length_s = bounds.window_s + TOKEN_S
+    quota = rate_per_s * bounds.window_s + workspace.burst
+    bound = (quota * (1 + bounds.excess) + bounds.slack) * USED_SHARE
+    length_s = bounds.window_s + TOKEN_LIFETIME_S
     refill_per_s = min(rate_per_s, bound * REFILL_SHARE / length_s)
-    room = bound - refill_per_s * length_s
-    alone = room * ALONE_SHARE
-    lanes = _ranking.LANES
+    capacity = bound - refill_per_s * length_s
+    standalone = capacity * STANDALONE_SHARE
+    partitions = _ranking.PARTITIONS_PER_SHARD
     return QuotaPlan(
-        refill_per_s / lanes, (room - alone) / lanes, alone / lanes
+        refill_per_s / partitions,
+        (capacity - standalone) / partitions,
+        standalone / partitions,
     )
--- a/sedgering/quota/_ranking.py
+++ b/sedgering/quota/_ranking.py
@@ -1,8 +1,8 @@
-"""Which daemons keep the tokens of which workspaces.
+"""Assigns workspaces to shards, and daemons to the partitions of a shard.
 
-Workspaces are divided into shards.  Each shard has two lanes with a keeper
-each and half of all rates: when one ends without a word, what the other has
-left serves until its successor is lent to.
+Workspaces are hashed to shards.  Each shard has two partitions, with an
+allocator and half of all rates each: when one allocator crashes, the tokens
+of the other partition serve until a successor holds leases.
 """
 
 from collections.abc import Iterable
@@ -12,26 +12,27 @@
 from sedgering import base
 
 __all__ = [
-    'LANES',
-    'ShardId',
-    'check_lane',
-    'choose_lane',
+    'PARTITIONS_PER_SHARD',
+    'PartitionId',
+    'check_partition',
+    'choose_first_partition',
     'count_shards',
-    'find_lanes',
+    'find_partitions',
     'holds_workspace',
-    'list_lanes',
+    'list_partitions',
+    'rank_allocators',
     'rank_hosts',
-    'rank_keepers',
 ]
 
-#: Names a lane, its shard and the number of shards: daemons that disagree on
-#: the number ask for different ones, and what they lend is kept apart.
-ShardId = NewType('ShardId', str)
+#: Names a partition, its shard and the number of shards.  Daemons that
+#: disagree on that number use different ids, so their leases are kept apart.
+PartitionId = NewType('PartitionId', str)
 
-#: Hosts for each shard, up to twice as many: a keeper answers each of them
-#: some five times a second.
+#: Smallest number of hosts for each shard, once there are two shards; up to
+#: twice as many share one.  An allocator answers each host some five times a
+#: second.
 HOSTS_PER_SHARD = 64
-LANES = 2
+PARTITIONS_PER_SHARD = 2
 
 
 def count_shards(hosts: int) -> int:
@@ -40,7 +41,7 @@
     Parameters
     ----------
     hosts : int
-        Of the fleet.
+        Number of hosts in the fleet.
     """
     shards = 1
     while shards * 2 * HOSTS_PER_SHARD <= hosts:
@@ -48,58 +49,69 @@
     return shards
 
 
-def list_lanes(shards: int) -> list[ShardId]:
-    """Return the ids of all lanes."""
+def list_partitions(shards: int) -> list[PartitionId]:
+    """Return the ids of all partitions of all shards."""
     return [
-        _make_id(lane, number, shards)
-        for number in range(shards)
-        for lane in range(LANES)
+        _make_id(partition, shard, shards)
+        for shard in range(shards)
+        for partition in range(PARTITIONS_PER_SHARD)
     ]
 
 
-def find_lanes(workspace: base.WorkspaceName, shards: int) -> list[ShardId]:
-    """Return the lanes of a workspace."""
-    number = _hash(workspace) % shards
-    return [_make_id(lane, number, shards) for lane in range(LANES)]
+def find_partitions(
+    workspace: base.WorkspaceName, shards: int
+) -> list[PartitionId]:
+    """Return the partitions that grant tokens of a workspace."""
+    shard = _hash(workspace) % shards
+    return [
+        _make_id(partition, shard, shards)
+        for partition in range(PARTITIONS_PER_SHARD)
+    ]
 
 
-def choose_lane(host: base.HostId, workspace: base.WorkspaceName) -> int:
-    """Return the lane that a daemon asks first for a workspace.
+def choose_first_partition(
+    host: base.HostId, workspace: base.WorkspaceName
+) -> int:
+    """Return the number of the partition that a daemon asks first.
 
-    Half of the daemons ask each, so that both are used alike.
+    Half of the daemons ask each partition first, so that both are used
+    equally.
     """
-    return _hash(f'{host} {workspace}') % LANES
+    return _hash(f'{host} {workspace}') % PARTITIONS_PER_SHARD
 
 
-def holds_workspace(shard: ShardId, workspace: base.WorkspaceName) -> bool:
-    """Whether a workspace belongs to a lane."""
-    _lane, number, shards = _split_id(shard)
-    return _hash(workspace) % shards == number
+def holds_workspace(
+    partition_id: PartitionId, workspace: base.WorkspaceName
+) -> bool:
+    """Whether a partition grants tokens of a workspace."""
+    _partition, shard, shards = _split_id(partition_id)
+    return _hash(workspace) % shards == shard
 
 
-def check_lane(shard: ShardId) -> ShardId:
-    """Return the id of a lane.
+def check_partition(partition_id: PartitionId) -> PartitionId:
+    """Return the id of a partition if it is valid.
 
     Raises
     ------
     ValueError
-        When it is none.
+        When it is not.
     """
-    _split_id(shard)
-    return shard
+    _split_id(partition_id)
+    return partition_id
 
 
-def rank_keepers(
-    hosts: Iterable[base.HostId], shard: ShardId
+def rank_allocators(
+    hosts: Iterable[base.HostId], partition_id: PartitionId
 ) -> list[base.HostId]:
-    """Return the keepers of a lane, the best first.
+    """Return the possible allocators of a partition, the best first.
 
-    The lanes of a shard begin at the two ends of one order: whoever follows
-    on a keeper that has ended is not the keeper of the other lane.
+    The two partitions of a shard use one order from opposite ends, so the
+    successor of a crashed allocator is not the allocator of the other
+    partition.
     """
-    lane, number, shards = _split_id(shard)
-    ranked = rank_hosts(hosts, f'{number}/{shards}')
-    return ranked[::-1] if lane else ranked
+    partition, shard, shards = _split_id(partition_id)
+    ranked = rank_hosts(hosts, f'{shard}/{shards}')
+    return ranked[::-1] if partition else ranked
 
 
 def rank_hosts(hosts: Iterable[base.HostId], salt: str) -> list[base.HostId]:
@@ -108,22 +120,22 @@
     Parameters
     ----------
     hosts : iterable of HostId
-        To rank.
+        Hosts to rank.
     salt : str
         Gives each shard an order of its own.
     """
     return sorted(hosts, key=lambda host: (_hash(f'{salt} {host}'), host))
 
 
-def _make_id(lane: int, number: int, shards: int) -> ShardId:
-    return ShardId(f'{lane}/{number}/{shards}')
+def _make_id(partition: int, shard: int, shards: int) -> PartitionId:
+    return PartitionId(f'{partition}/{shard}/{shards}')
 
 
-def _split_id(shard: ShardId) -> tuple[int, int, int]:
-    lane, number, shards = map(int, shard.split('/'))
-    if not (0 <= lane < LANES and 0 <= number < shards):
-        raise ValueError(shard)
-    return lane, number, shards
+def _split_id(partition_id: PartitionId) -> tuple[int, int, int]:
+    partition, shard, shards = map(int, partition_id.split('/'))
+    if not (0 <= partition < PARTITIONS_PER_SHARD and 0 <= shard < shards):
+        raise ValueError(partition_id)
+    return partition, shard, shards
 
 
 def _hash(text: str) -> int:
