--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -186,7 +186,7 @@
                 new_version.note(evidence, number, look)
             for number, evidence in enumerate(old):
                 old_version.note(evidence, number, look)
-        verdict = rollout.judge(new, old)
+        verdict = rollout.choose_verdict(new, old)
         if verdict is rollout.Verdict.BAD:
             break
     return verdict, sum(evidence.failures for evidence in new)
@@ -220,7 +220,7 @@
 
 @then('the new version is {verdict}')
 def step_new_verdict(context, verdict):
-    found = rollout.judge(context.new, context.old)
+    found = rollout.choose_verdict(context.new, context.old)
     assert found is rollout.Verdict(verdict), found
 
 
@@ -341,8 +341,10 @@
     if shows == 'leaves work behind':
         old[0].running = 1
     order = None if shows == 'is withdrawn' else make_order()
-    sight = rollout.Sight(order, now, new, old, shows != 'is silent')
-    context.next = rollout.plan_next(context.row, sight)
+    observation = rollout.Observation(
+        order, now, new, old, shows != 'is silent'
+    )
+    context.next = rollout.plan_next(context.row, observation)
 
 
 @then('its next stage is {stage}')
--- a/sedgering/mesh/_fleet.py
+++ b/sedgering/mesh/_fleet.py
@@ -158,10 +158,10 @@
         usual = [row for row in rows if permits.may_send(row.version)]
         if permits.trial is not None:
             self._choose_trials(target_set, permits.trial, usual, rows)
-        if not usual and permits.leaving is not None:
+        if not usual and permits.draining is not None:
             # No target of the new version is there: those of the old one
             # serve as long as they may.
-            usual = [row for row in rows if row.version == permits.leaving]
+            usual = [row for row in rows if row.version == permits.draining]
         return usual
 
     def find_permits(self, target_set: base.TargetSetName) -> rollout.Permits:
--- a/sedgering/mesh/_rollout_driver.py
+++ b/sedgering/mesh/_rollout_driver.py
@@ -138,7 +138,7 @@
         entry: _rollout_log.RolloutEntry | None,
     ) -> None:
         """Write the first row that follows an order."""
-        old = entry.rollout.settled if entry else self._find_old(order)
+        old = entry.rollout.final_version if entry else self._find_old(order)
         if old == rollout.UNKNOWN_VERSION:
             return
         row = rollout.make_rollout(order, old, self.source.store_now_ms)
@@ -164,18 +164,18 @@
         new, old = self._choose_asked(row)
         new_found = await self._ask(new, row.order_revision)
         old_found = await self._ask(old, row.order_revision)
-        sight = rollout.Sight(
+        observation = rollout.Observation(
             order,
             self.source.store_now_ms,
             [item for item in new_found if item.version == row.new],
             old_found,
             len(old_found) == len(old),
         )
-        stage = rollout.plan_next(row, sight)
-        self._log_look(row, sight, stage)
+        stage = rollout.plan_next(row, observation)
+        self._log_look(row, observation, stage)
         if stage is not row.stage:
             row = msgspec.structs.replace(
-                row, stage=stage, stage_ms=sight.now_ms
+                row, stage=stage, stage_ms=observation.now_ms
             )
             await self._write(row, entry.revision)
 
@@ -218,22 +218,25 @@
         return found
 
     def _log_look(
-        self, row: rollout.Rollout, sight: rollout.Sight, stage: _Stage
+        self,
+        row: rollout.Rollout,
+        observation: rollout.Observation,
+        stage: _Stage,
     ) -> None:
-        new_runs = sum(item.runs for item in sight.new)
-        new_failures = sum(item.failures for item in sight.new)
-        old_runs = sum(item.runs for item in sight.old)
-        old_failures = sum(item.failures for item in sight.old)
+        new_runs = sum(item.runs for item in observation.new)
+        new_failures = sum(item.failures for item in observation.new)
+        old_runs = sum(item.runs for item in observation.old)
+        old_failures = sum(item.failures for item in observation.old)
         LOG.info(
             'rollout look',
             extra={
                 'target_set': row.target_set,
                 'outcome': stage.value,
-                'age_ms': sight.now_ms - row.began_ms,
+                'age_ms': observation.now_ms - row.began_ms,
                 'detail': (
                     f'{row.new}: {new_failures} of {new_runs} failed at '
-                    f'{len(sight.new)}; {row.old}: {old_failures} of '
-                    f'{old_runs} at {len(sight.old)}'
+                    f'{len(observation.new)}; {row.old}: {old_failures} of '
+                    f'{old_runs} at {len(observation.old)}'
                 ),
             },
         )
--- a/sedgering/rollout/__init__.py
+++ b/sedgering/rollout/__init__.py
@@ -1,13 +1,13 @@
-"""Rollouts of a new version of targets: pure decisions, no I/O.
+"""Canary rollouts of a new version of targets: pure decisions, no I/O.
 
 The operator orders that the calls of a target set move to targets of another
-version of its software.  A bounded share of them goes there first
-(:class:`ExposureQuota`), what both versions show is compared
-(:func:`judge`), and all calls move, or none (:func:`plan_next`).  Which
-version may get calls meanwhile, :class:`Permits` tells.
+version of its software.  First a bounded share of the calls goes to the new
+version (:class:`ExposureQuota`) and the results of both versions are compared
+(:func:`choose_verdict`).  Then all calls move or none (:func:`plan_next`).
+:class:`Permits` says which versions may get calls in the meantime.
 """
 
-from sedgering.rollout._evidence import bucket_of
+from sedgering.rollout._evidence import compute_latency_bucket
 from sedgering.rollout._evidence import Evidence
 from sedgering.rollout._evidence import RouteEvidence
 from sedgering.rollout._exposure import choose_exposed
@@ -21,28 +21,28 @@
 from sedgering.rollout._permits import Permits
 from sedgering.rollout._permits import UNKNOWN_VERSION
 from sedgering.rollout._plan import make_rollout
+from sedgering.rollout._plan import Observation
 from sedgering.rollout._plan import plan_next
-from sedgering.rollout._plan import Sight
+from sedgering.rollout._verdict import choose_verdict
 from sedgering.rollout._verdict import is_plainly_bad
-from sedgering.rollout._verdict import judge
 from sedgering.rollout._verdict import Verdict
 
 __all__ = [
     'Evidence',
     'ExposureQuota',
+    'Observation',
     'Order',
     'Permits',
     'Rollout',
     'RouteEvidence',
-    'Sight',
     'Stage',
     'UNKNOWN_VERSION',
     'Verdict',
-    'bucket_of',
     'choose_exposed',
+    'choose_verdict',
+    'compute_latency_bucket',
     'find_majority',
     'is_plainly_bad',
-    'judge',
     'make_permits',
     'make_rollout',
     'plan_next',
--- a/sedgering/rollout/_evidence.py
+++ b/sedgering/rollout/_evidence.py
@@ -1,4 +1,4 @@
-"""What a target has shown of its version: failures and times to answer."""
+"""Results of the calls to one target: failures and latencies."""
 
 import math
 
@@ -6,77 +6,90 @@
 
 from sedgering import base
 
-__all__ = ['Evidence', 'RouteEvidence', 'bucket_of', 'merge_routes']
+__all__ = [
+    'Evidence',
+    'RouteEvidence',
+    'compute_latency_bucket',
+    'merge_routes',
+]
 
-#: Buckets of times to answer for each doubling.
+#: Latency buckets for each doubling of the latency.
 BUCKETS_PER_OCTAVE = 4
-#: A time of 2**(this / BUCKETS_PER_OCTAVE) ms and more: 35 minutes.
+#: Holds all latencies from 2**(LAST_BUCKET / BUCKETS_PER_OCTAVE) ms on, which
+#: is 35 minutes.
 LAST_BUCKET = 84
-#: Routes told of one target; a set is seldom called on more.
+#: Routes counted at one target; a target set is seldom called on more.
 ROUTES_LIMIT = 64
 
 
 class RouteEvidence(msgspec.Struct, array_like=True):
-    """Calls on one route.
+    """Results of the calls on one route.
 
     Parameters
     ----------
     runs, failures : int
         Calls that were sent, and those of them that failed.
-    times : dict of int to int
-        Calls by bucket of their time to answer; see :func:`bucket_of`.
+    calls_by_bucket : dict of int to int
+        Answered calls by latency bucket; see
+        :func:`compute_latency_bucket`.
     """
 
     runs: int = 0
     failures: int = 0
-    times: dict[int, int] = {}
+    calls_by_bucket: dict[int, int] = {}
 
     def note(self, is_failure: bool, elapsed_ms: float) -> None:
-        """Count one call."""
+        """Record the result of one call."""
         self.runs += 1
         self.failures += is_failure
         if not is_failure:
-            bucket = bucket_of(elapsed_ms)
-            self.times[bucket] = self.times.get(bucket, 0) + 1
+            bucket = compute_latency_bucket(elapsed_ms)
+            self.calls_by_bucket[bucket] = (
+                self.calls_by_bucket.get(bucket, 0) + 1
+            )
 
     def add(self, other: 'RouteEvidence') -> None:
-        """Add the calls of another target."""
+        """Add the counts of another target."""
         self.runs += other.runs
         self.failures += other.failures
-        for bucket, count in other.times.items():
-            self.times[bucket] = self.times.get(bucket, 0) + count
+        for bucket, count in other.calls_by_bucket.items():
+            self.calls_by_bucket[bucket] = (
+                self.calls_by_bucket.get(bucket, 0) + count
+            )
 
     def count_slower(self, bucket: int) -> int:
-        """Return how many calls took longer than those of a bucket."""
+        """Return how many calls are in a slower bucket than this one."""
         return sum(
-            count for other, count in self.times.items() if other > bucket
+            count
+            for other, count in self.calls_by_bucket.items()
+            if other > bucket
         )
 
     def find_median_bucket(self) -> int | None:
-        """Return the bucket of the median; None without answers."""
-        half = sum(self.times.values()) / 2
-        for bucket in sorted(self.times):
-            half -= self.times[bucket]
-            if half <= 0:
+        """Return the bucket of the median latency; None without answers."""
+        remaining = sum(self.calls_by_bucket.values()) / 2
+        for bucket in sorted(self.calls_by_bucket):
+            remaining -= self.calls_by_bucket[bucket]
+            if remaining <= 0:
                 return bucket
         return None
 
 
 class Evidence(msgspec.Struct, array_like=True):
-    """What one target has shown since an order was seen.
+    """Results of the calls to one target since an order was first seen.
 
     Parameters
     ----------
     version : str
-        Of its software.
+        Version of its software.
     order_revision : int
-        Of the order.
+        Revision of the order.
     running : int
-        Calls under way at it now.
+        Calls in progress at the target now.
     is_stopped : bool
-        Whether its daemon has stopped the trial by itself.
+        Whether its daemon has stopped the trial on its own.
     routes : dict of str to RouteEvidence
-        By route.
+        Results by route.
     """
 
     version: base.SoftwareVersion
@@ -88,27 +101,27 @@
     def note(
         self, route: base.RouteName, is_failure: bool, elapsed_ms: float
     ) -> None:
-        """Count one call."""
-        known = self.routes.get(route)
-        if known is None:
+        """Record the result of one call."""
+        counts = self.routes.get(route)
+        if counts is None:
             if len(self.routes) >= ROUTES_LIMIT:
                 return
-            known = self.routes[route] = RouteEvidence()
-        known.note(is_failure, elapsed_ms)
+            counts = self.routes[route] = RouteEvidence()
+        counts.note(is_failure, elapsed_ms)
 
     @property
     def runs(self) -> int:
-        """Calls on all routes."""
+        """Number of calls on all routes."""
         return sum(item.runs for item in self.routes.values())
 
     @property
     def failures(self) -> int:
-        """Failures on all routes."""
+        """Number of failures on all routes."""
         return sum(item.failures for item in self.routes.values())
 
 
-def bucket_of(elapsed_ms: float) -> int:
-    """Return the bucket of a time to answer."""
+def compute_latency_bucket(elapsed_ms: float) -> int:
+    """Return the latency bucket of an elapsed time."""
     exponent = math.log2(max(1.0, elapsed_ms))
     return min(LAST_BUCKET, int(exponent * BUCKETS_PER_OCTAVE))
 
@@ -116,9 +129,9 @@
 def merge_routes(
     evidence: list[Evidence],
 ) -> dict[base.RouteName, RouteEvidence]:
-    """Add up what several targets have shown, by route."""
+    """Sum the results of several targets by route."""
     merged: dict[base.RouteName, RouteEvidence] = {}
     for item in evidence:
-        for route, known in item.routes.items():
-            merged.setdefault(route, RouteEvidence()).add(known)
+        for route, counts in item.routes.items():
+            merged.setdefault(route, RouteEvidence()).add(counts)
     return merged
--- a/sedgering/rollout/_exposure.py
+++ b/sedgering/rollout/_exposure.py
@@ -1,4 +1,4 @@
-"""How many calls a version on trial may get."""
+"""How many calls the version on trial may get."""
 
 from collections.abc import Collection
 import math
@@ -10,14 +10,14 @@
 
 __all__ = ['ExposureQuota', 'choose_exposed', 'rank_host']
 
-#: Share of what the operator allows that is used.  The rest covers calls that
-#: targets of the new version have taken while those of the old one, which
-#: make up the total, are still on their way.
-USED_SHARE = 0.8
-#: Targets on trial, as a share of the targets of the old version.  With this
-#: share of the calls each of them is as busy as an old one, so that a version
-#: which is bad only under load shows it.
-TARGETS_SHARE = 0.09
+#: Part of the operator's share that is used.  The total consists mostly of
+#: calls to the old version.  While these are still in flight, calls to the new
+#: version may already have arrived; the unused rest covers them.
+USED_QUOTA_SHARE = 0.8
+#: Targets on trial, as a share of the targets of the old version.  At the
+#: usual share of the calls, this makes each target on trial as busy as an old
+#: one, so that a version that fails only under load is detected.
+TRIAL_TARGETS_SHARE = 0.09
 
 
 class _Counts(msgspec.Struct):
@@ -26,16 +26,16 @@
 
 
 class ExposureQuota:
-    """Bounds the calls of this daemon to versions on trial.
+    """Bounds the calls that this daemon sends to versions on trial.
 
-    Each daemon keeps to the share by what it sends itself, so that the whole
-    fleet does, without a word between them; whoever starts anew begins with
-    nothing.
+    Each daemon applies the share to its own calls, so the whole fleet keeps
+    to it without coordination.  A restarted daemon starts with zero counts.
 
     Parameters
     ----------
     share : float
-        Of all calls to the set, how many the operator lets a bad version get.
+        Largest share of the calls to a target set that the operator exposes
+        to a version on trial, 0 to 1.
     """
 
     def __init__(self, share: float):
@@ -45,13 +45,13 @@
     def retain(
         self, current: Collection[tuple[base.TargetSetName, int]]
     ) -> None:
-        """Forget the rollouts that are over; count for those on trial."""
+        """Drop the counts of all but the current trials."""
         self._counts = {
             key: self._counts.get(key) or _Counts() for key in current
         }
 
     def note_arrival(self, target_set: base.TargetSetName) -> None:
-        """Count a call that has reached a target."""
+        """Count a call that has arrived at a target."""
         for key, counts in self._counts.items():
             if key[0] == target_set:
                 counts.sent += 1
@@ -61,11 +61,11 @@
         counts = self._find(target_set)
         if counts is None:
             return False
-        allowed = USED_SHARE * self.share * (counts.sent + 1)
+        allowed = USED_QUOTA_SHARE * self.share * (counts.sent + 1)
         return counts.exposed + 1 <= allowed
 
     def note_exposed(self, target_set: base.TargetSetName, calls: int) -> None:
-        """Count a call to the version on trial, or take it back."""
+        """Add calls to the version on trial; negative to take them back."""
         counts = self._find(target_set)
         if counts is not None:
             counts.exposed = max(0, counts.exposed + calls)
@@ -84,27 +84,27 @@
 ) -> frozenset[base.HostId]:
     """Choose the hosts whose targets are on trial.
 
-    A few of them, as busy as any other, rather than all of them lightly.
+    A few targets get a full load, rather than all of them a light one.
 
     Parameters
     ----------
     hosts : collection of HostId
-        With targets of the new version.
+        Hosts with targets of the new version.
     old_count : int
-        Targets of the old one.
+        Number of targets of the old version.
     """
-    count = max(1, math.floor(TARGETS_SHARE * old_count + 0.5))
+    count = max(1, math.floor(TRIAL_TARGETS_SHARE * old_count + 0.5))
     return frozenset(sorted(hosts, key=rank_host)[:count])
 
 
 def rank_host(host: base.HostId, salt: str = '') -> tuple[int, base.HostId]:
-    """Return a key for an order of hosts on which all daemons agree.
+    """Return a sort key that ranks hosts alike on all daemons.
 
     Parameters
     ----------
     host : HostId
-        To place.
+        Host to rank.
     salt : str
-        Others make other orders.
+        Each salt gives another ranking.
     """
     return zlib.crc32(f'{salt}{host}'.encode()), host
--- a/sedgering/rollout/_model.py
+++ b/sedgering/rollout/_model.py
@@ -1,4 +1,4 @@
-"""Orders of the operator, and how far a rollout has come."""
+"""Orders of the operator, and the stage of a rollout."""
 
 import enum
 from typing import Annotated
@@ -13,38 +13,38 @@
 
 
 class Stage(enum.Enum):
-    """How far a rollout has come."""
+    """Stage of a rollout."""
 
     #: A bounded share of the calls goes to a few targets of the new version.
     TRIAL = 'trial'
-    #: All calls go to the new version; the old one still answers those whose
-    #: senders do not know yet.
+    #: All calls go to the new version.  The old one still accepts calls from
+    #: senders that have not learned of this stage yet.
     MOVING = 'moving'
-    #: The old version takes no new calls, and ends those under way.
+    #: The old version accepts no new calls and finishes those in progress.
     SETTLING = 'settling'
     SUCCEEDED = 'succeeded'
     ROLLED_BACK = 'rolled back'
 
     @property
     def is_final(self) -> bool:
-        """Whether the verdict is told, and nothing more is done."""
+        """Whether the rollout has ended and its verdict stands."""
         return self in (Stage.SUCCEEDED, Stage.ROLLED_BACK)
 
 
 class Order(msgspec.Struct, frozen=True, array_like=True):
-    """What the operator asks for.
+    """Order of the operator to move a target set to a version.
 
     Parameters
     ----------
     target_set : str
-        Whose calls are to move.
+        Target set whose calls are to move.
     version : str
-        Of the software of the targets to which they are to move.
+        Software version of the targets that are to get the calls.
     duration_ms : int
-        Time within which that is done, or undone.
+        Time within which the rollout succeeds or is rolled back.
     revision : int
-        Counter of the store at which it was written; a later order of the
-        same set takes the place of an earlier one.
+        Revision of the store at which the order was written.  A later order
+        for the same set replaces an earlier one.
     """
 
     target_set: base.TargetSetName
@@ -54,22 +54,22 @@
 
 
 class Rollout(msgspec.Struct, frozen=True):
-    """The row of one target set: what outlives every daemon.
+    """Stored state of the rollout of one target set.
 
     Parameters
     ----------
     target_set : str
-        Whose calls move.
+        Target set whose calls move.
     old, new : str
         Versions of its targets.
     order_revision : int
-        Of the order that it follows.
+        Revision of the order that the rollout carries out.
     stage : Stage
-        How far it has come.
+        Current stage.
     began_ms : int
         Time of the store's clock at which the order was first seen.
     stage_ms : int
-        The same for the present stage.
+        Time of the store's clock at which the current stage began.
     """
 
     target_set: _Text
@@ -81,7 +81,7 @@
     stage_ms: base.Count = 0
 
     @property
-    def settled(self) -> base.SoftwareVersion:
-        """The version that gets the calls when nothing moves."""
+    def final_version(self) -> base.SoftwareVersion:
+        """Version that gets the calls once the rollout has ended."""
         has_moved = self.stage is Stage.SUCCEEDED
         return base.SoftwareVersion(self.new if has_moved else self.old)
--- a/sedgering/rollout/_permits.py
+++ b/sedgering/rollout/_permits.py
@@ -10,7 +10,7 @@
 
 __all__ = ['UNKNOWN_VERSION', 'Permits', 'find_majority', 'make_permits']
 
-#: Of a target that has not told it.
+#: Version of a target that has not reported one.
 UNKNOWN_VERSION = base.SoftwareVersion('')
 
 _Stage = _model.Stage
@@ -21,41 +21,41 @@
 
     Parameters
     ----------
-    usual : str
-        Version to which calls go; that of a target that does not tell one
-        where nobody has told it.
+    stable : str
+        Version that gets the calls; ``UNKNOWN_VERSION`` while no target has
+        reported one.
     trial : str or None
-        Version that gets a bounded share of them.
-    leaving : str or None
-        Version that is sent nothing, and still runs what comes: its senders
-        learn one by one that it is leaving.
+        Version that gets a bounded share of the calls.
+    draining : str or None
+        Version that is sent no new calls but still runs those that arrive,
+        as senders learn at different times that it is draining.
     ordered : str or None
-        Version that was ordered, and gets nothing yet.
+        Version that was ordered and gets no calls yet.
     """
 
-    usual: base.SoftwareVersion
+    stable: base.SoftwareVersion
     trial: base.SoftwareVersion | None = None
-    leaving: base.SoftwareVersion | None = None
+    draining: base.SoftwareVersion | None = None
     ordered: base.SoftwareVersion | None = None
 
     def may_send(self, version: base.SoftwareVersion) -> bool:
-        """Whether calls go to targets of a version as usual."""
+        """Whether calls go to a version without the limit of a trial."""
         if version == UNKNOWN_VERSION:
-            # It may be any of those that are there.
+            # It may be any of the versions in use.
             return self.ordered is None and not self.is_moving
-        if self.usual == UNKNOWN_VERSION:
+        if self.stable == UNKNOWN_VERSION:
             return version != self.ordered
-        return version == self.usual
+        return version == self.stable
 
     def may_run(self, version: base.SoftwareVersion) -> bool:
-        """Whether the gate before a target of a version is open."""
-        is_other = version in (self.trial, self.leaving)
-        return is_other or self.may_send(version)
+        """Whether a daemon admits calls to its target of a version."""
+        is_extra = version in (self.trial, self.draining)
+        return is_extra or self.may_send(version)
 
     @property
     def is_moving(self) -> bool:
-        """Whether calls go to two versions."""
-        return self.trial is not None or self.leaving is not None
+        """Whether two versions may run calls."""
+        return self.trial is not None or self.draining is not None
 
 
 def make_permits(
@@ -63,19 +63,19 @@
     order: _model.Order | None,
     majority: base.SoftwareVersion,
 ) -> Permits:
-    """Say which versions of one set may get calls.
+    """Decide which versions of one target set may get calls.
 
-    Not knowing is no licence: a version gets calls when the rollout allows
-    it, and without one only if most targets of the set have it.
+    Fails closed: a version gets calls when the rollout allows it.  Without a
+    rollout it gets them only if most targets of the set have it.
 
     Parameters
     ----------
     rollout : Rollout or None
-        As far as it is known.
+        Last known state of the rollout.
     order : Order or None
-        The operator's newest.
+        Newest order of the operator.
     majority : str
-        Version of most targets.
+        Version that most targets have.
     """
     if rollout is None:
         ordered = order.version if order is not None else None
@@ -87,13 +87,13 @@
     if rollout.stage is _Stage.ROLLED_BACK:
         return Permits(old)
     is_moving = rollout.stage is _Stage.MOVING
-    return Permits(new, leaving=old if is_moving else None)
+    return Permits(new, draining=old if is_moving else None)
 
 
 def find_majority(
     versions: Iterable[base.SoftwareVersion],
 ) -> base.SoftwareVersion:
-    """Return the version that most targets tell; of two the first by name."""
+    """Return the most frequent version; the first by name on a tie."""
     counts = collections.Counter(
         version for version in versions if version != UNKNOWN_VERSION
     )
--- a/sedgering/rollout/_plan.py
+++ b/sedgering/rollout/_plan.py
@@ -1,4 +1,4 @@
-"""When a rollout goes on to its next stage."""
+"""When a rollout advances to its next stage."""
 
 import msgspec
 
@@ -6,132 +6,139 @@
 from sedgering.rollout import _model
 from sedgering.rollout import _verdict
 
-__all__ = ['Sight', 'make_rollout', 'plan_next']
-
-#: Shares of the ordered duration.  A good version moves after the first one
-#: at the earliest: some turn bad seconds after their start, and once all calls
-#: go to it, all of them are exposed.  What has no verdict by the second one is
-#: undone: moving takes the rest.
-LEAST_TRIAL_SHARE = 0.5
-LONGEST_TRIAL_SHARE = 0.66
-#: When the move is done at the latest, whatever still runs at the old version.
-LAST_SHARE = 0.92
-#: Time for which the old version still takes calls while senders learn that
-#: they go elsewhere: a bundle is in force everywhere in as long.
+__all__ = ['Observation', 'make_rollout', 'plan_next']
+
+#: Bounds of the trial, as shares of the ordered duration.  A good version gets
+#: all calls no earlier than the first: some versions turn bad seconds after
+#: their start, and from then on every call is exposed.  A version without a
+#: verdict at the second is rolled back, as the move needs the remaining time.
+MIN_TRIAL_SHARE = 0.5
+MAX_TRIAL_SHARE = 0.66
+#: Share of the ordered duration at which the rollout succeeds even if calls
+#: still run at the old version.
+FORCED_END_SHARE = 0.92
+#: Time for which the old version still accepts calls while senders learn that
+#: calls go to the new one; a bundle takes as long to be in force everywhere.
 MOVING_MS = 1800
-#: Shortest time for which the old version takes none before it is told that
-#: it may end: its daemons learn of it meanwhile.
-SETTLING_MS = 1200
+#: Shortest time for which the old version accepts no calls before the rollout
+#: succeeds and it may end; its daemons learn of the stage in this time.
+MIN_SETTLING_MS = 1200
 
 _Stage = _model.Stage
 
 
-class Sight(msgspec.Struct):
-    """What a daemon sees of a rollout.
+class Observation(msgspec.Struct):
+    """What a daemon knows of a rollout when it plans the next stage.
 
     Parameters
     ----------
     order : Order or None
-        The operator's newest; None where it was withdrawn.
+        Newest order of the operator; None if it was withdrawn.
     now_ms : int
-        Of the store's clock.
+        Current time of the store's clock.
     new, old : list of Evidence
-        Of the targets that were asked.
-    is_asked : bool
-        Whether all of them have answered.
+        Evidence of the targets of each version that have answered.
+    has_all_old : bool
+        Whether all targets of the old version that were asked have answered.
     """
 
     order: _model.Order | None
     now_ms: int
     new: list[_evidence.Evidence]
     old: list[_evidence.Evidence]
-    is_asked: bool = True
+    has_all_old: bool = True
 
 
 def make_rollout(order: _model.Order, old: str, now_ms: int) -> _model.Rollout:
-    """Make the first row that follows an order.
+    """Make the first row for an order.
 
     Parameters
     ----------
     order : Order
-        The operator's.
+        Order of the operator.
     old : str
         Version that gets the calls now.
     now_ms : int
-        Of the store's clock.
+        Current time of the store's clock.
     """
-    is_there = old == order.version
+    is_in_use = old == order.version
     return _model.Rollout(
         order.target_set,
         old,
         order.version,
         order.revision,
-        _Stage.SUCCEEDED if is_there else _Stage.TRIAL,
+        _Stage.SUCCEEDED if is_in_use else _Stage.TRIAL,
         now_ms,
         now_ms,
     )
 
 
-def plan_next(rollout: _model.Rollout, sight: Sight) -> _model.Stage:
-    """Return the stage in which a rollout should be.
+def plan_next(
+    rollout: _model.Rollout, observation: Observation
+) -> _model.Stage:
+    """Return the stage that a rollout should be in now.
 
     Parameters
     ----------
     rollout : Rollout
-        As it is.
-    sight : Sight
-        What is seen of it.
+        Its stored state.
+    observation : Observation
+        What is known of it now.
     """
     if rollout.stage.is_final:
         return rollout.stage
-    order = sight.order
+    order = observation.order
     if order is None:
-        # Withdrawn: before the move nothing has changed; during it calls go
-        # to both versions, and the old one is still there.
+        # The order was withdrawn.  During a trial the old version still gets
+        # most calls; later, its targets are still there to take them back.
         return _Stage.ROLLED_BACK
     if rollout.stage is _Stage.TRIAL:
-        return _plan_trial(rollout, sight)
-    verdict = _judge(sight)
+        return _plan_trial(rollout, observation)
+    verdict = _choose_verdict(observation)
     if verdict is _verdict.Verdict.BAD:
         return _Stage.ROLLED_BACK
-    stage_age_ms = sight.now_ms - rollout.stage_ms
+    stage_age_ms = observation.now_ms - rollout.stage_ms
     if rollout.stage is _Stage.MOVING:
         is_due = stage_age_ms >= MOVING_MS
         return _Stage.SETTLING if is_due else _Stage.MOVING
-    return _plan_settling(rollout, sight, stage_age_ms)
+    return _plan_settling(rollout, observation, stage_age_ms)
 
 
-def _judge(sight: Sight) -> _verdict.Verdict:
-    tried = [item for item in sight.new if item.runs or item.is_stopped]
-    stopped = sum(item.is_stopped for item in tried)
-    if stopped and 2 * stopped >= len(tried):
+def _choose_verdict(observation: Observation) -> _verdict.Verdict:
+    called = [item for item in observation.new if item.runs or item.is_stopped]
+    stopped = sum(item.is_stopped for item in called)
+    if stopped and 2 * stopped >= len(called):
         return _verdict.Verdict.BAD
-    return _verdict.judge(sight.new, sight.old)
+    return _verdict.choose_verdict(observation.new, observation.old)
 
 
-def _plan_trial(rollout: _model.Rollout, sight: Sight) -> _model.Stage:
-    verdict = _judge(sight)
+def _plan_trial(
+    rollout: _model.Rollout, observation: Observation
+) -> _model.Stage:
+    verdict = _choose_verdict(observation)
     if verdict is _verdict.Verdict.BAD:
         return _Stage.ROLLED_BACK
-    age_ms = sight.now_ms - rollout.began_ms
-    duration_ms = sight.order.duration_ms
-    if age_ms < LEAST_TRIAL_SHARE * duration_ms:
+    age_ms = observation.now_ms - rollout.began_ms
+    duration_ms = observation.order.duration_ms
+    if age_ms < MIN_TRIAL_SHARE * duration_ms:
         return _Stage.TRIAL
     if verdict is _verdict.Verdict.GOOD:
         return _Stage.MOVING
-    if age_ms >= LONGEST_TRIAL_SHARE * duration_ms:
+    if age_ms >= MAX_TRIAL_SHARE * duration_ms:
         return _Stage.ROLLED_BACK
     return _Stage.TRIAL
 
 
 def _plan_settling(
-    rollout: _model.Rollout, sight: Sight, stage_age_ms: int
+    rollout: _model.Rollout, observation: Observation, stage_age_ms: int
 ) -> _model.Stage:
-    """Wait until nothing runs at the old version: it ends without a word."""
-    age_ms = sight.now_ms - rollout.began_ms
-    if age_ms >= LAST_SHARE * sight.order.duration_ms:
+    """Wait until the old version is idle: its targets may end unannounced."""
+    age_ms = observation.now_ms - rollout.began_ms
+    if age_ms >= FORCED_END_SHARE * observation.order.duration_ms:
         return _Stage.SUCCEEDED
-    is_quiet = sight.is_asked and not any(item.running for item in sight.old)
-    if is_quiet and stage_age_ms >= SETTLING_MS:
+    is_idle = observation.has_all_old and not any(
+        item.running for item in observation.old
+    )
+    if is_idle and stage_age_ms >= MIN_SETTLING_MS:
         return _Stage.SUCCEEDED
     return _Stage.SETTLING
--- a/sedgering/rollout/_verdict.py
+++ b/sedgering/rollout/_verdict.py
@@ -1,9 +1,9 @@
 """Whether a new version is as good as the old one.
 
-A call is bad when it fails, or takes several times as long as is usual on its
+A call is bad when it fails, or takes several times the median latency of its
 route at the old version.  Both versions are under the same load from the same
-callers at the same time, so that what hurts both, a lossy link or a burst,
-speaks against neither.
+callers at the same time, so that a lossy link or a burst, which affects both,
+counts against neither.
 """
 
 import enum
@@ -16,165 +16,174 @@
 
 __all__ = [
     'Verdict',
+    'choose_verdict',
     'is_plainly_bad',
-    'judge',
 ]
 
-#: A call is slow that takes more than four times (8 buckets) the median of its
-#: route.  Of lognormal work with a spread of 0.8 four in a hundred do at equal
-#: speed, 19 at half of it; of a version that is eight times slower in half of
-#: its calls, 32 to 45 do.
+#: A call is slow if it takes more than four times (8 buckets) the median of
+#: its route.  With lognormal work times of a log standard deviation of 0.8,
+#: these are 4 % of the calls at equal speed and 19 % at half the speed.  If
+#: half of the calls of a version are eight times slower, 32 to 45 % are slow.
 SLOW_BUCKETS = 8
-#: Answers of the old version on a route before its median is used.
-LEAST_OLD_RUNS = 16
-#: Bad calls of the new version that are taken as usual beyond those of the
-#: old one: its targets are few, and some are slower than others.
+#: Calls of the old version on a route before its median is used.
+MIN_OLD_RUNS = 16
+#: Excess share of bad calls that is accepted in the new version compared with
+#: the old one: it has few targets, and some are slower than others.
 TOLERATED_SHARE = 0.08
-#: More than this is never taken as usual.
-MOST_USUAL_SHARE = 0.7
-#: A bad version does this much worse at least.
-HARM_SHARE = 0.2
-#: Chances of a wrong verdict for which the test is made: against a
-#: good version, and for a bad one.
-WRONG_BAD = 1 / 4000
-WRONG_GOOD = 1 / 400
-#: Failures at one target, and their share, after which its daemon stops by
-#: itself: the row with the verdict takes a second to get round.
-PLAIN_FAILURES = 8
-PLAIN_SHARE = 0.3
+#: Upper bound of the share of bad calls that is accepted.
+MAX_ACCEPTED_SHARE = 0.7
+#: Smallest excess share of bad calls, beyond the accepted one, of a version
+#: that is to be found bad.
+MIN_HARM_SHARE = 0.2
+#: Error probabilities of the test: that a good version is found bad, and that
+#: a bad version is found good.
+FALSE_BAD_PROBABILITY = 1 / 4000
+FALSE_GOOD_PROBABILITY = 1 / 400
+#: Failures at one target, and their share of its calls, at which its daemon
+#: stops the trial on its own.  The row with the verdict would reach it a
+#: second later.
+LOCAL_STOP_FAILURES = 8
+LOCAL_STOP_SHARE = 0.3
 
 
 class Verdict(enum.Enum):
-    """What the evidence says of a new version."""
+    """What the evidence shows about a new version."""
 
     OPEN = 'open'
     GOOD = 'good'
     BAD = 'bad'
 
 
-class Tally(msgspec.Struct, frozen=True):
-    """Calls of a version, and the bad ones among them."""
+class CallCounts(msgspec.Struct, frozen=True):
+    """Number of calls of a version, and of the bad ones among them."""
 
     runs: int
     bad: int
 
 
-def judge_tally(tally: Tally, usual_share: float) -> Verdict:
-    """Judge a tally of the new version by the share usual at the old one.
+def run_sequential_test(counts: CallCounts, accepted_share: float) -> Verdict:
+    """Test the calls of the new version against the accepted share.
 
     Wald's sequential probability ratio test (1945).  It ends as soon as the
-    evidence is enough either way.  Windows of 60 calls let a version that
-    fails half of its calls harm 54 callers in the median, this test 34, and
-    one that is twice as slow was undone twice in 200 times.
+    evidence suffices for either verdict.  With windows of 60 calls, a version
+    that fails half of its calls harmed 54 callers in the median, with this
+    test 34.  A version that is twice as slow was rolled back in 2 of 200 runs.
 
     Parameters
     ----------
-    tally : Tally
-        Of the new version.
-    usual_share : float
-        Share of bad calls that speaks against nothing.
+    counts : CallCounts
+        Calls of the new version.
+    accepted_share : float
+        Share of bad calls that does not count against a version, 0 to 1.
     """
-    harmful_share = min(0.95, usual_share + HARM_SHARE)
-    good = tally.runs - tally.bad
-    ratio = tally.bad * math.log(harmful_share / usual_share)
-    ratio += good * math.log((1 - harmful_share) / (1 - usual_share))
-    if ratio >= -math.log(WRONG_BAD):
+    harmful_share = min(0.95, accepted_share + MIN_HARM_SHARE)
+    good = counts.runs - counts.bad
+    log_ratio = counts.bad * math.log(harmful_share / accepted_share)
+    log_ratio += good * math.log((1 - harmful_share) / (1 - accepted_share))
+    if log_ratio >= -math.log(FALSE_BAD_PROBABILITY):
         return Verdict.BAD
-    if ratio <= math.log(WRONG_GOOD):
+    if log_ratio <= math.log(FALSE_GOOD_PROBABILITY):
         return Verdict.GOOD
     return Verdict.OPEN
 
 
 def is_plainly_bad(evidence: _evidence.Evidence) -> bool:
-    """Whether one target alone shows that its version fails."""
+    """Whether the calls to one target suffice to stop the trial there."""
     failures = evidence.failures
-    is_many = failures >= PLAIN_FAILURES
-    return is_many and failures >= PLAIN_SHARE * evidence.runs
+    is_many = failures >= LOCAL_STOP_FAILURES
+    return is_many and failures >= LOCAL_STOP_SHARE * evidence.runs
 
 
-def judge(
+def choose_verdict(
     new: list[_evidence.Evidence], old: list[_evidence.Evidence]
 ) -> Verdict:
-    """Judge a new version by what its targets and the old ones have shown.
+    """Choose the verdict on a new version by comparing it with the old one.
 
-    The worst target is left out where there are several: one that is slow or
-    fails for a cause of its own says nothing of its version.  A version that
-    is good with it is good: it may have run nearly all of the calls.
+    With several targets, the worst one is left out: a single target that is
+    slow or fails may have a cause unrelated to its version.  If that leaves
+    the verdict open and the version is good with the worst target included,
+    it is good, as that target may have run nearly all of the calls.
 
     Parameters
     ----------
     new, old : list of Evidence
-        One item for each target.
+        One item for each target of the version.
     """
     old_routes = _evidence.merge_routes(old)
-    limits = _find_limits(old_routes)
-    usual = _sum(_list_tallies(old_routes, limits))
-    usual_share = TOLERATED_SHARE + usual.bad / max(1, usual.runs)
-    usual_share = min(MOST_USUAL_SHARE, usual_share)
-    verdict = _judge_all(_leave_out_worst(new, limits), limits, usual_share)
+    slow_limits = _find_slow_limits(old_routes)
+    old_counts = _sum_counts(_count_by_route(old_routes, slow_limits))
+    accepted_share = TOLERATED_SHARE + old_counts.bad / max(1, old_counts.runs)
+    accepted_share = min(MAX_ACCEPTED_SHARE, accepted_share)
+    verdict = _test_all_routes(
+        _leave_out_worst_target(new, slow_limits), slow_limits, accepted_share
+    )
     if verdict is Verdict.OPEN:
-        with_worst = _judge_all(new, limits, usual_share)
+        with_worst = _test_all_routes(new, slow_limits, accepted_share)
         if with_worst is Verdict.GOOD:
             return with_worst
     return verdict
 
 
-def _judge_all(
+def _test_all_routes(
     evidence: list[_evidence.Evidence],
-    limits: dict[base.RouteName, int],
-    usual_share: float,
+    slow_limits: dict[base.RouteName, int],
+    accepted_share: float,
 ) -> Verdict:
-    """Judge some targets over all routes; bad on one route is bad."""
-    tallies = _list_tallies(_evidence.merge_routes(evidence), limits)
+    """Test the sum and each route; bad on one route is bad."""
+    counts_by_route = _count_by_route(
+        _evidence.merge_routes(evidence), slow_limits
+    )
     verdicts = [
-        judge_tally(item, usual_share) for item in (_sum(tallies), *tallies)
+        run_sequential_test(item, accepted_share)
+        for item in (_sum_counts(counts_by_route), *counts_by_route)
     ]
     return Verdict.BAD if Verdict.BAD in verdicts else verdicts[0]
 
 
-def _find_limits(
+def _find_slow_limits(
     routes: dict[base.RouteName, _evidence.RouteEvidence],
 ) -> dict[base.RouteName, int]:
-    """Return the bucket beyond which a call is slow, by route."""
-    limits = {}
-    for route, known in routes.items():
-        median = known.find_median_bucket()
-        if median is not None and known.runs >= LEAST_OLD_RUNS:
-            limits[route] = median + SLOW_BUCKETS
-    return limits
+    """Return the last latency bucket that is not slow, by route."""
+    slow_limits = {}
+    for route, route_evidence in routes.items():
+        median = route_evidence.find_median_bucket()
+        if median is not None and route_evidence.runs >= MIN_OLD_RUNS:
+            slow_limits[route] = median + SLOW_BUCKETS
+    return slow_limits
 
 
-def _list_tallies(
+def _count_by_route(
     routes: dict[base.RouteName, _evidence.RouteEvidence],
-    limits: dict[base.RouteName, int],
-) -> list[Tally]:
-    """Tally the calls of each route."""
-    tallies = []
-    for route, known in routes.items():
-        limit = limits.get(route, _evidence.LAST_BUCKET)
-        bad = known.failures + known.count_slower(limit)
-        tallies.append(Tally(known.runs, bad))
-    return tallies
-
-
-def _sum(tallies: list[Tally]) -> Tally:
-    return Tally(
-        sum(item.runs for item in tallies), sum(item.bad for item in tallies)
+    slow_limits: dict[base.RouteName, int],
+) -> list[CallCounts]:
+    """Count all and the bad calls of each route."""
+    counts_by_route = []
+    for route, route_evidence in routes.items():
+        slow_limit = slow_limits.get(route, _evidence.LAST_BUCKET)
+        bad = route_evidence.failures + route_evidence.count_slower(slow_limit)
+        counts_by_route.append(CallCounts(route_evidence.runs, bad))
+    return counts_by_route
+
+
+def _sum_counts(counts_by_route: list[CallCounts]) -> CallCounts:
+    return CallCounts(
+        sum(item.runs for item in counts_by_route),
+        sum(item.bad for item in counts_by_route),
     )
 
 
-def _leave_out_worst(
-    evidence: list[_evidence.Evidence], limits: dict[base.RouteName, int]
+def _leave_out_worst_target(
+    evidence: list[_evidence.Evidence], slow_limits: dict[base.RouteName, int]
 ) -> list[_evidence.Evidence]:
-    seen = [item for item in evidence if item.runs]
-    if len(seen) < 2:
-        return seen
-    worst = max(seen, key=lambda item: _find_bad_share(item, limits))
-    return [item for item in seen if item is not worst]
+    called = [item for item in evidence if item.runs]
+    if len(called) < 2:
+        return called
+    worst = max(called, key=lambda item: _find_bad_share(item, slow_limits))
+    return [item for item in called if item is not worst]
 
 
 def _find_bad_share(
-    evidence: _evidence.Evidence, limits: dict[base.RouteName, int]
+    evidence: _evidence.Evidence, slow_limits: dict[base.RouteName, int]
 ) -> float:
-    total = _sum(_list_tallies(evidence.routes, limits))
+    total = _sum_counts(_count_by_route(evidence.routes, slow_limits))
     return total.bad / max(1, total.runs)
