--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -74,8 +74,8 @@
             return
         told = [int(figure) for figure in field.split(',')]
         assert told[:3] == [load.running, load.waiting, load.slots]
-        assert 1 <= load.slots <= balance.MOST_SLOTS
-        assert 0 <= load.slowness_percent <= balance.MOST_SLOWNESS_PERCENT
+        assert 1 <= load.slots <= balance.MAX_SLOTS
+        assert 0 <= load.slowness_percent <= balance.MAX_SLOWNESS_PERCENT
 
     check()
 
@@ -166,7 +166,7 @@
 
 @then('it leaves for more than {gain:d} of 100')
 def step_gain(context, gain):
-    assert round(100 * context.distance.gain_share) == gain
+    assert round(100 * context.distance.min_gain_share) == gain
 
 
 @given(
--- a/sedgering/access/__init__.py
+++ b/sedgering/access/__init__.py
@@ -1,4 +1,4 @@
-"""Who asks: keys of workspaces, and what a daemon may say of them."""
+"""Authentication of callers by the keys of workspaces."""
 
 from sedgering.access._counts import OTHERS
 from sedgering.access._counts import WorkspaceCounts
--- a/sedgering/access/_counts.py
+++ b/sedgering/access/_counts.py
@@ -1,21 +1,21 @@
-"""How often workspaces are answered and refused, for the largest ones."""
+"""Request counters by workspace, for the largest workspaces."""
 
 from sedgering import base
 
 __all__ = ['OTHERS', 'WorkspaceCounts']
 
-#: Workspaces that have labels of their own: counters of all would be a page
-#: of thousands of lines, and the largest ones are those that are asked about.
-LARGEST_LIMIT = 16
-#: Workspaces counted in all; of more, the one with the fewest requests goes to
-#: the others.
+#: Workspaces with a metric label of their own.  Counters of all workspaces
+#: would take thousands of lines, and mostly the largest ones are asked about.
+LABELLED_LIMIT = 16
+#: Workspaces counted separately.  Beyond that, the one with the fewest
+#: requests is merged into the others.
 COUNTED_LIMIT = 256
-#: Label of all that have none of their own; no name begins so.
+#: Label of all other workspaces; no workspace name has this prefix.
 OTHERS = '_others'
 
 
 class WorkspaceCounts:
-    """Counts requests by workspace and by how they ended."""
+    """Counts requests by workspace and outcome."""
 
     def __init__(self):
         self._counts: dict[base.WorkspaceName, dict[str, int]] = {}
@@ -27,40 +27,40 @@
         Parameters
         ----------
         workspace : str
-            That asked; nothing is counted without one.
+            Workspace of the caller; nothing is counted if it is empty.
         kind : str
-            Of a few, such as ``answered``.
+            One of a few outcomes, such as ``answered``.
         """
         if not workspace:
             return
         counts = self._counts.get(workspace)
         if counts is None:
-            counts = self._begin(workspace)
+            counts = self._add_workspace(workspace)
         counts[kind] = counts.get(kind, 0) + 1
 
     def list_largest(self) -> list[tuple[str, str, int]]:
-        """Return label, kind and count: the largest ones, then the others."""
+        """Return label, kind and count: largest first, then the others."""
         ranked = sorted(
             self._counts,
             key=lambda name: (-sum(self._counts[name].values()), name),
         )
         others = dict(self._others)
-        for name in ranked[LARGEST_LIMIT:]:
+        for name in ranked[LABELLED_LIMIT:]:
             _add(others, self._counts[name])
         tables = [(name, self._counts[name]) for name in ranked]
-        rows = [*tables[:LARGEST_LIMIT], (OTHERS, others)]
+        rows = [*tables[:LABELLED_LIMIT], (OTHERS, others)]
         return [
             (name, kind, value)
             for name, counts in rows
             for kind, value in sorted(counts.items())
         ]
 
-    def _begin(self, workspace: base.WorkspaceName) -> dict[str, int]:
+    def _add_workspace(self, workspace: base.WorkspaceName) -> dict[str, int]:
         if len(self._counts) >= COUNTED_LIMIT:
-            least = min(
+            smallest = min(
                 self._counts, key=lambda name: sum(self._counts[name].values())
             )
-            _add(self._others, self._counts.pop(least))
+            _add(self._others, self._counts.pop(smallest))
         counts = self._counts[workspace] = {}
         return counts
 
--- a/sedgering/access/_identity.py
+++ b/sedgering/access/_identity.py
@@ -1,4 +1,4 @@
-"""Decides who asks, and whether that can be said now."""
+"""Authenticates a request, and decides whether the answer is certain."""
 
 from collections.abc import Sequence
 
@@ -18,47 +18,49 @@
     Parameters
     ----------
     is_current : bool
-        Whether the daemon would have heard of a newer version.
-    silent_s : float
-        Time since it was last sure that there is none.
+        Whether the daemon would know of a newer version.
+    staleness_s : float
+        Time since it last knew for certain that there is none.
     """
 
     is_current: bool = True
-    silent_s: float = 0.0
+    staleness_s: float = 0.0
 
 
 class Revocation(msgspec.Struct, frozen=True):
-    """What a daemon does with keys that may have been taken away.
+    """Policy of a daemon for keys that may have been revoked.
 
     Parameters
     ----------
     is_strict : bool
-        Whether it stops to serve them.
-    limit_s : float
-        After how long without news.
+        Whether the daemon stops serving known keys when its data is stale.
+    max_staleness_s : float
+        Staleness after which it does so.
     """
 
     is_strict: bool = False
-    limit_s: float = 0.0
+    max_staleness_s: float = 0.0
 
     def may_trust(self, currency: Currency) -> bool:
-        """Whether a key that is known may still be held."""
-        return not self.is_strict or currency.silent_s <= self.limit_s
+        """Whether a known key may be taken as still valid."""
+        return (
+            not self.is_strict or currency.staleness_s <= self.max_staleness_s
+        )
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who asks.
+    """Result of the authentication of a request.
 
     Parameters
     ----------
     workspace : str
-        Empty for nobody.
+        Workspace of the caller; empty if there is none.
     priority : int
-        Of the workspace.
+        Priority of the workspace.
     code : Code or None
-        Why the request is refused; None when it may go on.
+        Why the request is refused; None if it is accepted.
     key_head : str
-        Start of the digest of a key that was refused, for logs.
+        Start of the digest of a refused key, for logs.
     """
 
     workspace: base.WorkspaceName = base.NO_WORKSPACE
@@ -67,7 +69,7 @@
     key_head: str = ''
 
 
-#: A request that no workspace makes, and that needs none.
+#: Identity of an anonymous request on a route that needs no key.
 NOBODY = Identity()
 
 
@@ -79,41 +81,41 @@
     currency: Currency,
     revocation: Revocation,
 ) -> Identity:
-    """Decide who asks, and whether the request may go on.
+    """Find the workspace of a request, and decide whether it is accepted.
 
     Parameters
     ----------
     snapshot : Snapshot
-        In force when the request began.
+        Bundle in force when the request began.
     route : str
-        That it matched.
+        Route that the request matched.
     values : sequence of str
-        Of its authorization fields.
+        Values of its authorization fields.
     scheme : str
-        Of the field that carries a key.
+        Authentication scheme that precedes the key.
     currency : Currency
-        Of the snapshot.
+        How current the snapshot is.
     revocation : Revocation
-        What the operator asks for.
+        Policy for keys that may have been revoked.
 
     Returns
     -------
     Identity
-        On a route that needs no key nothing is refused: an unknown key is
-        nobody's there.
+        On a route that needs no key nothing is refused: a request with an
+        unknown key is anonymous there.
 
     Notes
     -----
-    Digests are found in a table.  How long that takes may tell how much of a
-    digest is known, which says nothing of a key: who tries keys cannot choose
-    the digests that they have.
+    Digests are looked up in a hash table.  The time of a lookup may reveal how
+    much of a digest matches, but that reveals nothing about a key: an attacker
+    who tries keys cannot choose their digests.
     """
     is_keyed = route in snapshot.keyed_routes
     key = _keys.find_key(values, scheme)
     if key is None:
         if not is_keyed:
             return NOBODY
-        # No newer version would know it.
+        # No newer version can accept a request without a valid key.
         return Identity(code=exceptions.Code.REQUEST_KEY_UNKNOWN)
     digest = _keys.compute_key_digest(key)
     workspace = snapshot.workspaces_by_key.get(digest)
@@ -121,11 +123,11 @@
         return Identity(workspace.name, workspace.priority)
     if not is_keyed:
         return NOBODY
-    is_sure = workspace is None and currency.is_current
+    is_certain = workspace is None and currency.is_current
     return Identity(
         code=(
             exceptions.Code.REQUEST_KEY_UNKNOWN
-            if is_sure
+            if is_certain
             else exceptions.Code.REQUEST_KEY_UNSURE
         ),
         key_head=_keys.shorten_digest(digest),
--- a/sedgering/access/_keys.py
+++ b/sedgering/access/_keys.py
@@ -1,7 +1,7 @@
-"""Keys of workspaces: read from a field, and kept as digests only.
+"""API keys of workspaces: parsed from a field, and kept as digests only.
 
-Keys are drawn at random by whoever gives them out, so that a plain hash
-cannot be turned back; a slow one would be paid on each request.
+Keys are generated at random by their issuer, so a plain hash cannot be
+inverted by guessing.  A slow password hash would cost time on each request.
 """
 
 from collections.abc import Sequence
@@ -18,37 +18,38 @@
 #: Field that carries a key, in lower case (RFC 9110, section 11.6.2).
 KEY_FIELD = 'authorization'
 
-#: Digits by which people tell two keys apart.  They do not help to guess a
-#: key, and among a thousand keys two share them once in 8,000 meshes.
-HEAD_LENGTH = 8
+#: Digits of a digest that logs show to tell keys apart.  They do not help to
+#: guess a key.  Among a thousand keys, two share them in one of 8,000 meshes.
+DIGEST_HEAD_LENGTH = 8
 
 
 def compute_key_digest(key: str) -> str:
-    """Return what is kept of a key: its SHA-256 in hexadecimal digits."""
+    """Return the SHA-256 digest of a key in hexadecimal digits."""
     return hashlib.sha256(key.encode('utf-8', 'surrogatepass')).hexdigest()
 
 
 def shorten_digest(digest: str) -> str:
     """Return the start of a digest, for logs."""
-    return digest[:HEAD_LENGTH]
+    return digest[:DIGEST_HEAD_LENGTH]
 
 
 def take_claims(
     headers: Sequence[tuple[str, str]], workspace_field: str
 ) -> tuple[list[str], list[tuple[str, str]]]:
-    """Take what callers say of themselves off the fields of a request.
+    """Remove the fields by which callers identify themselves.
 
     Parameters
     ----------
     headers : sequence of (str, str)
-        As received.
+        Fields of the request as received.
     workspace_field : str
-        Field, in lower case, that tells targets who asks: nobody else may.
+        Field, in lower case, that tells targets the workspace; only daemons
+        may set it.
 
     Returns
     -------
     values : list of str
-        Of all authorization fields.
+        Values of all authorization fields.
     kept : list of (str, str)
         The other fields.
     """
@@ -69,16 +70,16 @@
     Parameters
     ----------
     values : sequence of str
-        Of all its authorization fields.
+        Values of all its authorization fields.
     scheme : str
-        That must stand before the key, in any case (RFC 9110, section 11.1).
+        Authentication scheme that must precede the key, in any letter case
+        (RFC 9110, section 11.1).
 
     Returns
     -------
     str or None
-        None without a field, with more than one, or with anything that is
-        not the scheme and one key: two readers might take different keys
-        from these.
+        None without a field, with more than one, or with anything but the
+        scheme and one key, as two parsers might read different keys from it.
     """
     if len(values) != 1:
         return None
@@ -86,6 +87,6 @@
     if len(parts) != 2 or parts[0].lower() != scheme.lower():
         return None
     key = parts[1]
-    # A comma joins two fields into one.
-    is_plain = key.isascii() and key.isprintable() and ',' not in key
-    return key if key and is_plain else None
+    # A comma may join the values of two fields into one.
+    is_valid = key.isascii() and key.isprintable() and ',' not in key
+    return key if key and is_valid else None
--- a/sedgering/balance/__init__.py
+++ b/sedgering/balance/__init__.py
@@ -1,37 +1,37 @@
-"""Where work goes when targets and demand are uneven: pure decisions, no I/O.
+"""Load balancing over uneven targets and demand: pure decisions, no I/O.
 
-What a target tells of its load is read in one place
-(:func:`decode_target_load`), and the speed of its host at the moment is told
-apart from that of its work (:class:`OwnSpeed`, :class:`MomentSpeed`).  How
-likely a call ends in its time at a target is learned from earlier ones
-(:class:`EndTimes`), and decides whether it leaves its data centre
-(:class:`Distance`).
+:func:`decode_target_load` reads the load reports of targets.
+:class:`OwnSpeed` and :class:`MomentSpeed` separate the current speed of a host
+from the time that the work itself takes.  :class:`EndTimes` learns from
+earlier calls how likely a call is to end in time at a target, and
+:class:`RemoteThreshold` uses that to decide whether the call leaves its data
+centre.
 """
 
-from sedgering.balance._centres import CentreDemand
-from sedgering.balance._distance import Distance
-from sedgering.balance._distance import make_distance
-from sedgering.balance._distance import Offer
-from sedgering.balance._goal import EndTimes
-from sedgering.balance._load import decode_target_load
-from sedgering.balance._load import MOST_SLOTS
-from sedgering.balance._load import MOST_SLOWNESS_PERCENT
-from sedgering.balance._load import TargetLoad
-from sedgering.balance._moment import MomentSpeed
-from sedgering.balance._moment import UsualWork
-from sedgering.balance._own import OwnSpeed
+from sedgering.balance._centre_demand import CentreDemand
+from sedgering.balance._end_times import EndTimes
+from sedgering.balance._host_speed import MomentSpeed
+from sedgering.balance._host_speed import NormalWork
+from sedgering.balance._own_speed import OwnSpeed
+from sedgering.balance._remote import make_distance
+from sedgering.balance._remote import Offer
+from sedgering.balance._remote import RemoteThreshold
+from sedgering.balance._target_load import decode_target_load
+from sedgering.balance._target_load import MAX_SLOTS
+from sedgering.balance._target_load import MAX_SLOWNESS_PERCENT
+from sedgering.balance._target_load import TargetLoad
 
 __all__ = [
     'CentreDemand',
-    'Distance',
     'EndTimes',
-    'MOST_SLOTS',
-    'MOST_SLOWNESS_PERCENT',
+    'MAX_SLOTS',
+    'MAX_SLOWNESS_PERCENT',
     'MomentSpeed',
+    'NormalWork',
     'Offer',
     'OwnSpeed',
+    'RemoteThreshold',
     'TargetLoad',
-    'UsualWork',
     'decode_target_load',
     'make_distance',
 ]
