--- a/features/answers.feature
+++ b/features/answers.feature
@@ -48,20 +48,20 @@
 
   Scenario: Large and small answers over a narrow link, complete and in time
     Given a host whose link has 8 Mbit/s, and answers of 200000 bytes
-    When 3 callers of another host ask there, and small calls come meanwhile
+    When 3 callers of another host call it, and small calls come meanwhile
     Then all answers are complete
     And no small call waited for the end of the large ones
 
   Scenario: Answers that would be late on the link are refused, and not run
     Given a host whose link has 8 Mbit/s, and answers of 200000 bytes
     And the size of its answers is known from 3 answers
-    When 12 callers of another host ask there at once
+    When 12 callers of another host call it at once
     Then those that are answered 200 got complete answers
     And the others were refused as not run, with a retry time
 
   Scenario: A connection that closes after an answer sends all of it first
     Given a paced service with an answer of 200000 bytes
-    When a caller asks with "Connection: close"
+    When a caller sends "Connection: close"
     Then it gets the whole answer, and the end of the stream
 
   Scenario: Answers of one connection keep their order
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -255,8 +255,7 @@
 
 
 @when(
-    '{count:d} callers of another host ask there, and small calls come '
-    'meanwhile'
+    '{count:d} callers of another host call it, and small calls come meanwhile'
 )
 def step_mixed(context, count):
     loop = context.fleet.loop
@@ -295,7 +294,7 @@
     assert context.left == len(context.answers), context.left
 
 
-@when('{count:d} callers of another host ask there at once')
+@when('{count:d} callers of another host call it at once')
 def step_at_once(context, count):
     async def run():
         context.answers = await asyncio.gather(
@@ -363,7 +362,7 @@
     return asyncio.run(run())
 
 
-@when('a caller asks with "Connection: close"')
+@when('a caller sends "Connection: close"')
 def step_close(context):
     head = 'GET /large HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n'
     context.raw = _talk(context, head.encode())
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -266,7 +266,7 @@
     mesh = context.mesh
     side = mesh.second.daemon.state.side
     gate = side.gate
-    places = gate.limit
+    slots = gate.limit
 
     async def run():
         calls = [
@@ -278,7 +278,7 @@
                     X_Request_Deadline=str(DEADLINE_MS),
                 )
             )
-            for number in range(places + 1)
+            for number in range(slots + 1)
         ]
         while not gate.waiting:
             await asyncio.sleep(0.01)
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -34,10 +34,10 @@
 class GateSubject:
     """A gate with its own event loop, and the calls that entered it."""
 
-    def __init__(self, places: int, work_ms: float):
+    def __init__(self, slots: int, work_ms: float):
         self.loop = asyncio.new_event_loop()
         self.gate = mesh.Gate(mesh.MeshSettings(), self.loop.time)
-        self.gate.open(places)
+        self.gate.open(slots)
         self.gate.work.mean_ms = work_ms
         self.tasks: list[asyncio.Task] = []
         self.running: list[mesh.Ticket] = []
@@ -310,10 +310,10 @@
 
 @given('a set of {far:d} targets elsewhere and {near:d} in hall')
 def step_large_set(context, far, near):
-    places = ['elsewhere'] * far + ['hall'] * near
+    data_centres = ['elsewhere'] * far + ['hall'] * near
     context.members = [
-        make_row(f'host-{number}', place, number + 1)
-        for number, place in enumerate(places)
+        make_row(f'host-{number}', data_centre, number + 1)
+        for number, data_centre in enumerate(data_centres)
     ]
 
 
@@ -326,9 +326,9 @@
 
 @then('{count:d} are drawn, at least {near:d} of them in hall')
 def step_drawn(context, count, near):
-    places = [row.data_centre for row in context.drawn]
-    assert len(places) == count, places
-    assert places.count('hall') >= near, places
+    data_centres = [row.data_centre for row in context.drawn]
+    assert len(data_centres) == count, data_centres
+    assert data_centres.count('hall') >= near, data_centres
 
 
 @when('answers of the route are {size:d} bytes')
@@ -347,7 +347,7 @@
 @then('no sliding window of any sequence holds more than is allowed')
 def step_any_sequence(context):
     steps = st.lists(
-        st.tuples(st.integers(0, 900), st.sampled_from(['ask', 'retry'])),
+        st.tuples(st.integers(0, 900), st.sampled_from(['request', 'retry'])),
         max_size=150,
     )
 
@@ -358,20 +358,20 @@
     def check(moves):
         window = mesh.RetryWindow(0.2, 4, 10)
         now_ms = 0
-        asked = []
+        requested = []
         retried = []
         for pause_ms, move in moves:
             now_ms += pause_ms
-            if move == 'ask':
+            if move == 'request':
                 window.note_request(SET, now_ms / 1000)
-                asked.append(now_ms)
+                requested.append(now_ms)
             elif window.take(SET, now_ms / 1000):
                 retried.append(now_ms)
                 # The limit holds for the window that ends now and the
                 # requests in it.
                 start_ms = now_ms - 9500
                 count = sum(at_ms >= start_ms for at_ms in retried)
-                requests = sum(at_ms >= now_ms - 10_000 for at_ms in asked)
+                requests = sum(at_ms >= now_ms - 10_000 for at_ms in requested)
                 assert count <= 0.2 * requests + 4, (moves, retried)
 
     check()
--- a/sedgering/mesh/_answer_room.py
+++ b/sedgering/mesh/_answer_room.py
@@ -45,7 +45,7 @@
 
     @property
     def wait_ms(self) -> float:
-        """Time until the last of the expected answers begins to be sent."""
+        """Wait of an answer behind all queued and expected ones."""
         if self.pacer is None:
             return 0.0
         reserved_s = self._reserved_bytes / self.pacer.bytes_per_s
--- a/sedgering/mesh/_gate.py
+++ b/sedgering/mesh/_gate.py
@@ -234,8 +234,8 @@
         Raises
         ------
         GateRefused
-            When the gate is closed, or the call is not expected to end in
-            time.
+            When the gate is closed, no slot is free for a call that may not
+            wait, or the call is not expected to end in time.
         """
         if not self.is_open:
             raise GateRefused(_messages.RefusalReason.LEAVING)
@@ -286,7 +286,7 @@
         return int(min(wait_ms, MAX_RETRY_AFTER_MS))
 
     def _is_late(self, ticket: Ticket) -> bool:
-        """Whether the latency goal of a call has passed."""
+        """Whether the goal has passed; nested calls are never late."""
         return ticket.goal_s <= self.now_s() and not ticket.is_nested
 
     def leave(
--- a/sedgering/mesh/_link.py
+++ b/sedgering/mesh/_link.py
@@ -9,7 +9,7 @@
 #: Time over which bytes are counted: long enough for several uploads of
 #: 60 kB, short enough to follow a burst.
 WINDOW_S = 0.5
-BITS = 8
+BITS_PER_BYTE = 8
 
 
 class LinkMeter:
@@ -45,7 +45,7 @@
         if not self.link_mbps or elapsed_s < WINDOW_S:
             return self._percent
         received = sum(item.received_bytes for item in self._services)
-        mbps = (received - self._start_bytes) * BITS / elapsed_s / 1e6
+        mbps = (received - self._start_bytes) * BITS_PER_BYTE / elapsed_s / 1e6
         self._percent = min(100, int(100 * mbps / self.link_mbps))
         self._start_s += elapsed_s
         self._start_bytes = received
--- a/sedgering/mesh/_room.py
+++ b/sedgering/mesh/_room.py
@@ -20,7 +20,7 @@
 MIN_TRANSFER_MS = 10
 #: Time after which an unused reservation expires.
 RESERVATION_TIMEOUT_S = 1.0
-BITS = 8
+BITS_PER_BYTE = 8
 
 HEADER = 'sedgering-room'
 
@@ -29,7 +29,9 @@
     """Return whether a body needs a reservation on the link of a host."""
     if not row.link_mbps:
         return False
-    return body_bytes * BITS / (row.link_mbps * 1000) >= MIN_TRANSFER_MS
+    return (
+        body_bytes * BITS_PER_BYTE / (row.link_mbps * 1000) >= MIN_TRANSFER_MS
+    )
 
 
 def encode_room_request(body_bytes: int) -> bytes:
@@ -56,7 +58,9 @@
     """
 
     def __init__(self, link_mbps: float, now_s: Callable[[], float]):
-        self.limit_bytes = int(link_mbps * 1000 * MAX_IN_TRANSIT_MS / BITS)
+        self.limit_bytes = int(
+            link_mbps * 1000 * MAX_IN_TRANSIT_MS / BITS_PER_BYTE
+        )
         self.now_s = now_s
         #: Expiry time and bytes of each reservation, oldest first.
         self._reservations: list[tuple[float, int]] = []
--- a/sedgering/mesh/_target.py
+++ b/sedgering/mesh/_target.py
@@ -192,7 +192,10 @@
         return True
 
     def forget(self) -> None:
-        """Discard the target, because another one answered at its address."""
+        """Discard the target, because another one answered at its address.
+
+        The gate then stays closed until the next report.
+        """
         if self.report is not None:
             _log('target discarded', self.report)
             self._record_end(self.report.lifetime)
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_side.py
@@ -121,7 +121,7 @@
         )
 
     def leave(self) -> None:
-        """Stop admitting calls, because this daemon shuts down."""
+        """Close the gate for good, because this daemon shuts down."""
         self.is_leaving = True
         self.refresh_gate()
 
--- a/sedgering/mesh/_work.py
+++ b/sedgering/mesh/_work.py
@@ -70,12 +70,12 @@
         route_work.note(elapsed_ms, self.quantile)
 
     def find_told_ms(self, route: base.RouteName) -> float:
-        """Return the mean of a route; 0 when none of its calls has ended."""
+        """Return the moving average of a route; 0 if no call has ended."""
         route_work = self._routes.get(route)
         return route_work.mean_ms if route_work is not None else 0.0
 
     def find_mean_ms(self, route: base.RouteName) -> float:
-        """Return the mean of a route, or of all routes if it has none."""
+        """Return the moving average of a route, or of all if it has none."""
         return self.find_told_ms(route) or self.mean_ms
 
     def find_quantile_ms(self, route: base.RouteName) -> float:
