--- a/features/callers.feature
+++ b/features/callers.feature
@@ -1,12 +1,12 @@
-Feature: Callers and targets that send to the same port
-  Who waits for a call decides how long it may wait and who goes first.
+Feature: Telling calls of callers from calls of the local target
+  Whether a caller or a target waits decides the priority of a call.
 
   Scenario: Callers who state no more time than their route's timeout
     Given an idle target
     When 5 callers state 1200 ms, one each 10 ms
     Then all are taken as callers
 
-  Scenario: A daemon that starts beside a target that is never idle
+  Scenario: A daemon starts beside a target that is never idle
     Given a target at work on calls of 1200 ms that began 30 ms ago
     When 5 callers state 1200 ms, one each 10 ms
     Then all are taken as callers
@@ -23,38 +23,39 @@
     And 100 nested calls state 200 ms, one each 1 ms
     Then the last 50 are taken as calls of the target
 
-  Scenario: A caller that comes back states less time
+  Scenario: A caller that retries states less time
     Given an idle target
     When 5 callers state 1200 ms, one each 10 ms
     And 1 callers state 900 ms, one each 10 ms
     Then the last 1 are taken as returning
 
-  Scenario: Callers that wait for different times are not taken for returns
-    Four of five first tries were taken as returns on routes whose callers wait
-    for 85 to 100 % of the longest time: up to 15 % of that was taken off their
-    goal, 0.15 s of 0.4 s, and they were refused or sent far away as late.
+  Scenario: First tries with varying timeouts are not taken for retries
+    Four of five first tries counted as retries on routes with timeouts of 85
+    to 100 % of the longest one. Up to 15 % of the longest time was taken off
+    their goal (0.15 s of 0.4 s), so they were refused or sent to remote targets
+    as late.
     Given an idle target
     When 40 callers state 1200, 1140, 1080 and 1030 ms in turn
     Then the last 20 are taken as callers
     When 1 callers state 840 ms, one each 10 ms
     Then the last 1 are taken as returning
-    And it has waited for 230 to 290 ms
+    And it has waited 230 to 290 ms
 
-  Scenario: Callers that wait alike are taken for returns once they have waited
+  Scenario: With a uniform timeout, a shorter one marks a retry
     Given an idle target
     When 40 callers state 1200 ms, one each 10 ms
     And 1 callers state 1140 ms, one each 10 ms
     Then the last 1 are taken as returning
-    And it has waited for 60 to 60 ms
+    And it has waited 60 to 60 ms
 
-  Scenario: Routes that are gone are forgotten
+  Scenario: Statistics of removed routes are dropped
     Given an idle target
     When 5 callers state 1200 ms, one each 10 ms
-    And the route goes and comes again
+    And the route is removed and added again
     And 1 callers state 900 ms, one each 10 ms
     Then the last 1 are taken as callers
 
-  Scenario Outline: A stated time is digits only
+  Scenario Outline: A stated timeout is ASCII digits only
     Given a mesh with two calendar hosts
     When a caller states the time "<text>"
     Then it is answered <status>
--- a/features/mesh.feature
+++ b/features/mesh.feature
@@ -1,16 +1,16 @@
-Feature: The request path on the users' platform
-  Daemons, targets and the published store protocol, without the bench.
+Feature: The request path over the published protocol
+  Daemons, targets and the store protocol, without the load generator.
 
   Background:
     Given a mesh with two calendar hosts
 
   Scenario: A request reaches a target unchanged
     When a caller posts "notes" to "/r0/a?b=c" with id "id-1"
-    Then the answer is 200 with the proof and the body of "id-1"
+    Then the answer is 200 with the signature and the body of "id-1"
     And one target ran "id-1" as "POST /r0/a?b=c HTTP/1.1" with body "notes"
-    And it saw its own id, the origin "calendar" and less time than asked
+    And it received its own id, the origin "calendar" and a shorter deadline
 
-  Scenario: What a caller claims of its origin is replaced
+  Scenario: An origin field set by a caller is replaced
     When a caller sets "X-Caller-Service" to "ledger" and asks "/r0/" as "id-2"
     Then the target saw exactly one "x-caller-service", which was "calendar"
 
@@ -57,16 +57,16 @@
       | cut short | 502    |
       | failing   | 500    |
 
-  Scenario: An answer that comes after its own is nobody's
+  Scenario: An extra answer is not delivered to any caller
     Given the targets are extra answer after
     When a caller asks "/r0/" with ids "a" to "f"
-    Then each gets the body of its own id
+    Then each gets the body for its own id
 
-  Scenario: A body that its caller cuts is not passed on
+  Scenario: An incomplete request body is not forwarded
     When a caller sends half of a body to "/once/" and closes
     Then no target ran anything
 
-  Scenario Outline: Heads that two readers may read differently are refused
+  Scenario Outline: Ambiguous request heads are refused
     When a caller sends a head with <fault>
     Then the raw answer is <status> and the connection is closed
     And no target ran anything
@@ -84,35 +84,35 @@
       | a huge field                 | 431    |
       | a huge length                | 413    |
 
-  Scenario: Requests sent ahead are answered in their order
+  Scenario: Pipelined requests are answered in order
     Given the targets work 0.05 s
     When a caller sends 6 requests ahead on one connection
     Then their answers come in the order in which they were sent
 
-  Scenario: Half heads do not keep others waiting
+  Scenario: Incomplete heads do not delay other requests
     Given 300 connections that each sent half a head
     When a caller asks "/r0/" with id "id-5"
     Then the answer is 200
 
-  Scenario: A head that does not end is answered 408
+  Scenario: An incomplete head is answered 408
     Given a header timeout of 200 ms
     When a caller sends half a head and waits
     Then the raw answer is 408 and the connection is closed
 
-  Scenario: A request of which the caller is gone is cancelled at the target
+  Scenario: A request is cancelled at the target when its caller disconnects
     Given the targets work 5 s
     When a caller asks "/r0/" and closes once a target is at work
     Then the target sees its connection close
 
-  Scenario: A request that may be repeated leaves a peer that fell silent
-    Given the daemon of the second host stands still
+  Scenario: A repeatable request is retried elsewhere when a peer is silent
+    Given the daemon of the second host stops answering
     When 12 requests go to the first host, which has no target of its own
-    Then all that went to the silent host end at the third one in time
+    Then all requests sent to the silent host are answered by the third in time
 
-  Scenario: A request that may be repeated leaves a target that hangs
+  Scenario: A repeatable request is retried elsewhere when a target hangs
     Given the target of the second host hangs
     When 12 requests go to the first host, which has no target of its own
-    Then all that went to the silent host end at the third one in time
+    Then all requests sent to the silent host are answered by the third in time
 
   Scenario: A slow answer is still taken when the next target refuses
     Given the targets work 1.3 s
@@ -121,7 +121,7 @@
     Then the answer is 200
     And it arrived 1 times at targets
 
-  Scenario: A long request is not broken off where it cannot go elsewhere
+  Scenario: A long request is not cut off when there is no other target
     Given the targets work 1.3 s
     And only the second host has a target
     When a caller asks "/slow/" with id "id-9"
@@ -143,12 +143,12 @@
   Scenario: A target never works on more requests than it has slots
     Given the targets work 0.05 s
     When 30 callers ask "/r0/" at the same time
-    Then every answer is 200 or 503 with a time to return
+    Then every answer is 200, or 503 with Retry-After
     And no target worked on more than 2 at a time
     And every 503 was not run
 
   Scenario: A draining target gets nothing new, from any daemon
-    When the target of the first host says "draining"
+    When the target of the first host reports "draining"
     Then it is acknowledged, and 20 requests all run at the second host
 
   Scenario: A target that leaves without draining gets nothing new
@@ -160,31 +160,31 @@
     And it reports "ready" again
     Then it is acknowledged, and 20 requests all run at the second host
 
-  Scenario: A draining target stays closed while the store is away
+  Scenario: A draining target stays closed while the store is unavailable
     Given the store is silent
-    When the target of the first host says "draining"
+    When the target of the first host reports "draining"
     Then it is acknowledged, and 20 requests all run at the second host
 
-  Scenario: A late heartbeat of a crashed lifetime does not close the living one
+  Scenario: A late heartbeat of a crashed lifetime does not close its successor
     When the daemon of the first host is killed and started again
-    And the target of the first host says "ready"
+    And the target of the first host reports "ready"
     And a late heartbeat of a lifetime that crashed arrives there
-    And the target of the first host says "ready"
+    And the target of the first host reports "ready"
     Then the first host serves the second, whose own target leaves
 
-  Scenario: A living target is known after a late heartbeat came first
+  Scenario: A running target is known after a late heartbeat came first
     When the daemon of the first host is killed and started again
     And a late heartbeat of a lifetime that crashed arrives there
-    And the target of the first host says "ready"
+    And the target of the first host reports "ready"
     Then the first host serves the second, whose own target leaves
 
   Scenario: A daemon restarted beside the same target gets work again
     When the daemon of the first host is killed and started again
     And both hosts are asked before its target reports again
-    And the target of the first host says "ready"
+    And the target of the first host reports "ready"
     Then the first host serves the second, whose own target leaves
 
-  Scenario: A restarted daemon asks its target who it is
+  Scenario: A restarted daemon asks its target for its identity
     When the daemon of the first host is killed and started again
     Then the first host serves the second, whose own target leaves
 
@@ -202,7 +202,7 @@
     When version 2 sends "/r0/" to a service without targets
     Then "/r0/" gets 503 from both hosts
 
-  Scenario: An older version never comes back
+  Scenario: A version is never replaced by an older one
     When version 3 and then version 2 are written
     Then both hosts stay at version 3
 
@@ -217,11 +217,11 @@
     Then the answer is 503
     And it is not ready until the store answers again
 
-  Scenario Outline: The store fails in each of its ways, and daemons recover
+  Scenario Outline: Daemons recover from each failure mode of the store
     Given the store is <mode>
     And another host that has just started
     When the store is sound again
-    Then all hosts know each other
+    Then all hosts are members of one fleet
 
     Examples:
       | mode         |
@@ -231,7 +231,7 @@
       | lose answers |
       | late         |
 
-  Scenario: History that was dropped is read anew
+  Scenario: Members are read again when the store has dropped its history
     When the store drops its history
     And version 2 sends "/r0/" to a service without targets
     Then "/r0/" gets 503 from both hosts
@@ -242,18 +242,18 @@
     Then it is not ready at once, and the request is answered 200
     And requests of the second host all run there
 
-  Scenario: A leaving daemon cuts nothing that peers still send to it
+  Scenario: A leaving daemon completes what peers still send to it
     Given the store is silent
     And the targets work 0.4 s
     When the first host leaves within 4 s while 4 callers of the second post
     Then every post was answered 200 or 503, and ran once at the most
 
-  Scenario: The first answer of a store that returns ends all pauses
-    Given a daemon's three tasks that wait for a store
+  Scenario: The first answer of a recovered store ends all backoff pauses
+    Given three tasks of a daemon that wait for a store
     When one of them is answered
-    Then all three go on at once
+    Then all three continue at once
 
-  Scenario: Weights of a split are met over a short run
+  Scenario: Weights of a split are met over few requests
     Given a route "/split/" with weights 90 and 10 to calendar and ledger
     When 50 requests are sent to "/split/"
     Then 5 of them ran at ledger
--- a/features/search.feature
+++ b/features/search.feature
@@ -1,28 +1,28 @@
-Feature: A call finds a free place before it waits
-  In a large fleet what a daemon knows of the load of a target is old.
+Feature: A call searches for a free slot before it queues
+  In a large fleet load reports are stale, so a call probes for a free slot.
 
-  Scenario: A gate without a free place says how long a call would wait
+  Scenario: A gate without a free slot reports the expected wait
     Given a gate with 2 places where work takes 100 ms
     And 2 calls run and 3 first calls wait
-    When a call comes that is only to have a free place
+    When a call arrives that may only run in a free slot
     Then it is refused as busy, with a wait of 150 to 250 ms
-    And nothing waits that did not wait before
-    And a look at the gate says the same
+    And no further call waits
+    And find_busy_ms gives the same result
 
-  Scenario: A gate with a free place takes it
+  Scenario: A gate with a free slot admits the call
     Given a gate with 2 places where work takes 100 ms
     And 1 calls run and 0 first calls wait
-    When a call comes that is only to have a free place
+    When a call arrives that may only run in a free slot
     Then it runs at once
-    And a look at the gate says the same
+    And find_busy_ms gives the same result
 
-  Scenario: After some busy hosts a call waits where that is shortest
+  Scenario: After several busy hosts a call queues where the wait is shortest
     Given a search among hosts
-    When hosts tell waits of 300, 100, 400 and 200 ms
-    Then the search is over, and they are asked by their waits, once each
+    When hosts report waits of 300, 100, 400 and 200 ms
+    Then the search has ended, and each host is listed once, by wait
 
-  Scenario Outline: Who told just now of a queue is not asked for a place
-    Given a target with 2 places that told of <running> calls and <waiting> more
+  Scenario Outline: A target that just reported a queue is not probed
+    Given a target with 2 places that reported <running> running and <waiting> waiting calls
     Then <age> ms later it is <known> to be full
 
     Examples:
@@ -32,25 +32,25 @@
       | 2       | 0       | 10  | not known |
       | 1       | 0       | 10  | not known |
 
-  Scenario: A large body is not sent around
+  Scenario: A large body is not sent from host to host
     Given a search among hosts for a body of 60000 bytes
-    Then nothing is searched
+    Then no search takes place
 
-  Scenario: Where all are full only some calls still search
-    Given 80 searches of a set that found nothing
+  Scenario: When all targets are full, only some calls search
+    Given 80 searches of a set that found no free slot
     Then of 80 more calls 10 search
-    And once these have found places again all calls search
+    And once these find free slots again, all calls search
 
-  Scenario: What one set has no place for is searched in another
-    Given 80 searches of a set that found nothing
+  Scenario: A full target set does not stop searches in another
+    Given 80 searches of a set that found no free slot
     Then a call of another set searches
 
-  Scenario: A call of a host that knows nothing finds the only free target
+  Scenario: A call finds the only free target without any load report
     Given a mesh of 5 hosts, 3 of which have all places taken
     When a caller of the first host asks 8 times, one after the other
     Then all were answered at the host that is free, and no call was held
 
-  Scenario: Callers of many targets of which little is known are in time
+  Scenario: Calls to many targets with stale load reports meet their goal
     Given the load "many-targets" for 4 s
     When it is played with seed 1
     Then at least 95 % of "browse" end within their goal
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the table that tells callers from targets."""
+"""Steps for the table that tells calls of callers from those of targets."""
 
 import math
 
@@ -21,7 +21,7 @@
         #: Time left of the newest call at the target; None when it is idle.
         self.target_left_s: float | None = None
         self.found: list[mesh.CallUrgency] = []
-        #: Of the last call.
+        #: Result for the last call.
         self.waited_ms = 0
 
     def call(self, stated_ms: int) -> None:
@@ -72,12 +72,12 @@
         context.callers.now_s += 0.01
 
 
-@then('it has waited for {least_ms:d} to {most_ms:d} ms')
+@then('it has waited {least_ms:d} to {most_ms:d} ms')
 def step_waited(context, least_ms, most_ms):
     assert least_ms <= context.callers.waited_ms <= most_ms
 
 
-@when('the route goes and comes again')
+@when('the route is removed and added again')
 def step_forget(context):
     context.callers.table.retain([])
 
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -1,4 +1,4 @@
-"""Steps over daemons, targets and the store stand-in."""
+"""Steps for daemons, targets and the test store server."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 class MeshSubject:
-    """A fleet, and what its callers saw."""
+    """A fleet, and the answers that its callers received."""
 
     def __init__(self):
         self.fleet = testing.MeshFleet()
@@ -49,7 +49,7 @@
         self.second: testing.MeshHost | None = None
 
     def configure(self, *routes: dict, **limits) -> None:
-        """Write the next version, with more routes."""
+        """Write the next version, with additional routes."""
         self.routes += routes
         self.version += 1
         self.fleet.configure(
@@ -76,7 +76,7 @@
         return answer
 
     def list_runs(self) -> list[tuple]:
-        """Return what all targets ran."""
+        """Return the requests that all targets ran."""
         return [
             run
             for host in self.fleet.hosts.values()
@@ -282,14 +282,14 @@
     mesh.fleet.run(leave())
 
 
-@given('the daemon of the second host stands still')
+@given('the daemon of the second host stops answering')
 def step_stand_still(context):
     mesh = context.mesh
     mesh.third = mesh.fleet.add_host('hall-3')
     mesh.configure({'timeout': '2500ms', 'prefix': '/slow/', 'name': 'slow'})
     mesh.fleet.wait_ready()
     mesh.fleet.report(mesh.first, 'draining')
-    # It takes calls and answers none.
+    # It accepts calls and answers none.
     mesh.second.daemon.inbound.begin = lambda _call: asyncio.sleep(3600)
 
 
@@ -313,7 +313,7 @@
         return side._refuse(call, _messages.RefusalReason.SHED, 100)
 
     side.run = refuse
-    # The second host is asked first.
+    # Makes the second host the first choice.
     peers = mesh.first.daemon.state.peers
     row = mesh.first.daemon.state.fleet.members['hall-3']
     peers.find(row).shed_until_s = float('inf')
@@ -343,11 +343,11 @@
     mesh.answers = mesh.fleet.run(ask_all())
 
 
-@then('all that went to the silent host end at the third one in time')
+@then('all requests sent to the silent host are answered by the third in time')
 def step_all_third(context):
     mesh = context.mesh
     statuses = [answer.status for answer in mesh.answers]
-    # Gates of two places: some are shed, but none waits for the silent one.
+    # Two slots per target: some are shed, none waits for the silent host.
     assert set(statuses) <= {200, 503}, statuses
     assert statuses.count(200) >= 6, statuses
     assert not mesh.second.books.runs
@@ -368,7 +368,7 @@
     mesh.answers = mesh.fleet.run(ask_all())
 
 
-@when('the target of the first host says "{state}"')
+@when('the target of the first host reports "{state}"')
 def step_say(context, state):
     mesh = context.mesh
     mesh.acknowledged = mesh.fleet.report(mesh.first, state)
@@ -393,7 +393,7 @@
 def step_restart(context):
     mesh = context.mesh
     mesh.fleet.restart(mesh.first)
-    # Callers come once the daemon is ready; before that they get 503.
+    # Requests before the daemon is ready get 503.
     mesh.fleet.wait_for(lambda: mesh.first.daemon.is_ready)
 
 
@@ -410,8 +410,8 @@
 @then('the first host serves the second, whose own target leaves')
 def step_serve_second(context):
     mesh = context.mesh
-    # Which of two open targets is chosen depends on how long their work
-    # took; with one left there is no choice.
+    # Which of two open targets is chosen depends on their work times; with
+    # one left there is no choice.
     assert mesh.fleet.report(mesh.second, 'draining') == 200
     mesh.first.books.runs.clear()
 
@@ -503,7 +503,7 @@
     assert answer.status == status, (answer.status, answer.body)
 
 
-@then('the answer is 200 with the proof and the body of "{request_id}"')
+@then('the answer is 200 with the signature and the body of "{request_id}"')
 def step_whole(context, request_id):
     answer = context.mesh.answers[-1]
     assert answer.status == 200, answer
@@ -523,7 +523,7 @@
     }
 
 
-@then('it saw its own id, the origin "{origin}" and less time than asked')
+@then('it received its own id, the origin "{origin}" and a shorter deadline')
 def step_saw(context, origin):
     headers = context.mesh.headers
     targets = [books.target for books in context.mesh.list_books()]
@@ -556,7 +556,7 @@
     assert len(context.mesh.list_runs()) == count, context.mesh.list_runs()
 
 
-@then('each gets the body of its own id')
+@then('each gets the body for its own id')
 def step_own_bodies(context):
     bodies = [answer.body.decode() for answer in context.mesh.answers]
     assert bodies == [f'answer to {item}' for item in context.mesh.ids], bodies
@@ -589,7 +589,7 @@
     )
 
 
-@then('every answer is 200 or 503 with a time to return')
+@then('every answer is 200, or 503 with Retry-After')
 def step_all_final(context):
     for answer in context.mesh.answers:
         names = {name for name, _value in answer.headers}
@@ -653,7 +653,7 @@
     mesh.fleet.wait_ready()
 
 
-@then('all hosts know each other')
+@then('all hosts are members of one fleet')
 def step_all_known(context):
     context.mesh.fleet.wait_ready()
 
@@ -668,7 +668,7 @@
 @then('requests of the second host all run there')
 def step_second_only(context):
     mesh = context.mesh
-    # The row is gone once the store has it; then nothing goes there.
+    # Once the store has deleted the row, nothing is sent there.
     mesh.fleet.wait_for(
         lambda: len(mesh.second.daemon.state.fleet.members) == 1
     )
@@ -728,7 +728,7 @@
 
     async def leave():
         await mesh.first.daemon.leave(grace_s * 1000)
-        # As at the end of the process.
+        # As the process does at its end.
         await mesh.first.daemon.close()
 
     async def run_all():
@@ -752,7 +752,7 @@
     assert any(run[0] for run in mesh.first.books.runs)
 
 
-@given("a daemon's three tasks that wait for a store")
+@given('three tasks of a daemon that wait for a store')
 def step_three_tasks(context):
     context.loop = asyncio.new_event_loop()
     context.cleanups.append(context.loop.close)
@@ -768,7 +768,7 @@
     context.waiting = [
         loop.create_task(pauses.wait()) for pauses in context.pauses[:3]
     ]
-    # Each begins to wait.
+    # Let each task begin to wait.
     await asyncio.sleep(0)
 
 
@@ -777,7 +777,7 @@
     context.pauses[3].reset()
 
 
-@then('all three go on at once')
+@then('all three continue at once')
 def step_go_on(context):
     waiting = asyncio.wait(context.waiting, timeout=10)
     _done, pending = context.loop.run_until_complete(waiting)
--- a/features/steps/search_steps.py
+++ b/features/steps/search_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the search for a free place."""
+"""Steps for the search for a free slot."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 from sedgering import testing
 
 SET = 'calendar'
-#: Far more than a call over loopback takes, and less than any work here.
+#: Far longer than a call over loopback takes, shorter than any work here.
 HELD_S = 1.5
 
 
-@when('a call comes that is only to have a free place')
+@when('a call arrives that may only run in a free slot')
 def step_free_place(context):
     subject = context.gate
     now_s = subject.loop.time()
@@ -38,13 +38,13 @@
     assert least <= context.refusal.retry_after_ms <= most, context.refusal
 
 
-@then('nothing waits that did not wait before')
+@then('no further call waits')
 def step_nothing_waits(context):
     assert context.gate.gate.waiting == context.waiting
 
 
-@then('a look at the gate says the same')
-def step_look(context):
+@then('find_busy_ms gives the same result')
+def step_find_busy_ms(context):
     looked_ms, refusal = context.looked_ms, context.refusal
     assert (looked_ms is None) == (refusal is None), looked_ms
     if refusal is not None:
@@ -52,10 +52,10 @@
 
 
 @given(
-    'a target with {slots:d} places that told of {running:d} calls and '
-    '{waiting:d} more'
+    'a target with {slots:d} places that reported {running:d} running '
+    'and {waiting:d} waiting calls'
 )
-def step_told(context, slots, running, waiting):
+def step_reported(context, slots, running, waiting):
     peers = mesh.PeerTable(mesh.MeshSettings())
     context.peer = peers.find(testing.make_member_row('h1'))
     load = mesh.LoadReport(running, waiting, slots, 100, 100)
@@ -84,14 +84,16 @@
     context.search = _search.FreeSlotSearch(_search.SearchStats(), SET, size)
 
 
-@when('hosts tell waits of {first:d}, {second:d}, {third:d} and {fourth:d} ms')
+@when(
+    'hosts report waits of {first:d}, {second:d}, {third:d} and {fourth:d} ms'
+)
 def step_waits(context, first, second, third, fourth):
     for wait_ms in (first, second, third, fourth):
         assert context.search.is_on
         context.search.note_busy(f'h{wait_ms}', wait_ms)
 
 
-@then('the search is over, and they are asked by their waits, once each')
+@then('the search has ended, and each host is listed once, by wait')
 def step_by_waits(context):
     search = context.search
     assert not search.is_on
@@ -100,14 +102,14 @@
     assert search.list_by_wait() == ['h200', 'h300', 'h400']
 
 
-@then('nothing is searched')
+@then('no search takes place')
 def step_not_searched(context):
     assert not context.search.is_on
     assert not context.search.list_by_wait()
 
 
-def _search_in_vain(places):
-    """Begin a search; return whether it was worth it."""
+def _search_without_success(places):
+    """Search without success; return whether a search was started."""
     search = _search.FreeSlotSearch(places, SET, 0)
     if not search.is_on:
         return False
@@ -116,20 +118,20 @@
     return True
 
 
-@given('{count:d} searches of a set that found nothing')
+@given('{count:d} searches of a set that found no free slot')
 def step_in_vain(context, count):
     context.places = _search.SearchStats()
     for _number in range(count):
-        _search_in_vain(context.places)
+        _search_without_success(context.places)
 
 
 @then('of {count:d} more calls {searching:d} search')
 def step_some_search(context, count, searching):
-    found = [_search_in_vain(context.places) for _ in range(count)]
+    found = [_search_without_success(context.places) for _ in range(count)]
     assert sum(found) == searching, sum(found)
 
 
-@then('once these have found places again all calls search')
+@then('once these find free slots again, all calls search')
 def step_found_again(context):
     for _number in range(8 * _search.SEARCH_INTERVAL):
         search = _search.FreeSlotSearch(context.places, SET, 0)
@@ -187,5 +189,5 @@
     count = len(context.statuses)
     assert context.statuses == [200] * count, context.statuses
     assert len(context.free.books.runs) == count
-    # A place elsewhere never becomes free.
+    # Slots elsewhere never become free.
     assert context.elapsed_s < HELD_S * count, context.elapsed_s
--- a/features/steps/sight_steps.py
+++ b/features/steps/sight_steps.py
@@ -1,4 +1,4 @@
-"""Steps over what logs and metrics tell of requests that end late."""
+"""Steps for logs and metrics of requests that end late."""
 
 import asyncio
 import io
@@ -19,12 +19,12 @@
 from sedgering import transport
 
 GRACE_MS = 4000
-#: After which a leaving daemon has written a line.
+#: Time after which a leaving daemon has logged a line.
 LINE_S = 1.2
-#: In which a request has been sent on.
+#: Time within which a request has been forwarded.
 SENT_S = 0.3
-#: Between two looks at the metrics.
-LOOK_S = 0.1
+#: Interval of reading the metrics.
+METRICS_INTERVAL_S = 0.1
 STAGES = {
     'has no connection': _progress.AttemptStage.CONNECTION,
     'asks for room': _progress.AttemptStage.ROOM,
@@ -33,7 +33,7 @@
 
 
 class LogLines:
-    """What daemons wrote, as JSON lines."""
+    """Captures the log of all daemons as JSON lines."""
 
     def __init__(self):
         self.stream = io.StringIO()
@@ -43,13 +43,13 @@
         self.level = self.root.level
 
     def start(self):
-        """Take lines in, until the end of the scenario."""
+        """Start capturing."""
         self.root.addHandler(self.handler)
         self.root.setLevel(logging.INFO)
         logging.disable(logging.NOTSET)
 
     def stop(self):
-        """Leave logging as it was."""
+        """Stop capturing and restore the logging configuration."""
         logging.disable(logging.CRITICAL)
         self.root.setLevel(self.level)
         self.root.removeHandler(self.handler)
@@ -64,7 +64,7 @@
 
 
 def start_lines(context):
-    """Take lines in, until the end of the scenario."""
+    """Capture logs until the end of the scenario."""
     context.lines = LogLines()
     context.lines.start()
     context.cleanups.append(context.lines.stop)
@@ -78,11 +78,11 @@
 
 
 async def _watch_gauges(context, daemon):
-    """Keep the metrics as they are seen, again and again."""
+    """Read the metrics repeatedly and keep each reading."""
     context.gauges = []
     while True:
         context.gauges.append(_read_gauges(daemon))
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(METRICS_INTERVAL_S)
 
 
 def _start_call(context, path, request_id):
@@ -98,7 +98,7 @@
 
 
 async def _drop(task):
-    """End a call whose answer is not waited for."""
+    """Cancel a call whose answer is not needed."""
     task.cancel()
     await asyncio.wait((task,))
 
@@ -134,14 +134,14 @@
             await asyncio.sleep(SENT_S)
             context.told = progress.describe(loop.time())
             await _drop(sending)
-            # Once more, of a connection that is closed.
+            # Again, with the connection closed.
             await asyncio.sleep(0)
             context.told_closed = progress.describe(loop.time())
 
     asyncio.run(run())
 
 
-@then('the attempt tells that no byte came, and of bytes not acknowledged')
+@then('the attempt reports no byte received and bytes not acknowledged')
 def step_unread(context):
     pattern = (
         r'hall-2: sent \d+ ms ago, no byte came, (\d+) bytes not acknowledged$'
@@ -165,7 +165,7 @@
     inbound.begin = lambda _call: asyncio.sleep(3600)
 
 
-@given('its daemon has answered, and answers nothing more')
+@given('its daemon has answered before, and now answers nothing')
 def step_silent_later(context):
     mesh = context.mesh
     assert mesh.ask('/slow/', 'before').status == 200
@@ -244,7 +244,7 @@
         reader = slow_reader.SlowReader(mesh.first.addresses.callers_port)
         await reader.ask('x')
         while not mesh.list_runs():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(METRICS_INTERVAL_S)
         await asyncio.sleep(SENT_S)
         watching = asyncio.ensure_future(_watch_gauges(context, daemon))
         leaving = asyncio.ensure_future(daemon.leave(GRACE_MS))
@@ -264,7 +264,7 @@
         reader = slow_reader.SlowReader(mesh.first.addresses.callers_port)
         await reader.ask('x')
         while not mesh.list_runs():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(METRICS_INTERVAL_S)
         await asyncio.sleep(SENT_S)
         mesh.first.daemon.leave_log.note_end()
         reader.socket.close()
@@ -302,13 +302,13 @@
     assert line['attempts'] == [], line
 
 
-@then('no line "gate" tells of answers that wait')
+@then('no line "gate" reports waiting answers')
 def step_no_answers(context):
     told = [line['answers'] for line in context.lines.list('gate')]
     assert not any(told), told
 
 
-@then('a line "gate" without calls tells that {count:d} waits for the link')
+@then('a line "gate" without calls reports that {count:d} waits for the link')
 def step_answers(context, count):
     lines = context.lines.list('gate')
     told = [line['answers'] for line in lines if not line['detail']]
@@ -320,11 +320,11 @@
     assert found and all(found), lines
     held_bytes, wait_ms = map(int, found[0].groups())
     assert 10_000 < held_bytes < 100_000, told
-    # 20 kB/s: 50 us a byte, and at most one piece on its way.
+    # 20 kB/s is 50 us per byte; at most one chunk is in transit.
     assert held_bytes / 20 <= wait_ms + 1 <= (held_bytes + 17_000) / 20, told
 
 
-@then('the metrics of the second host told of it')
+@then('the metrics of the second host showed it')
 def step_gauges_second(context):
     name = 'sedgering_peer_answers_{}'
     for suffix, least in (
@@ -337,7 +337,7 @@
         assert min(seen) == 0, (suffix, seen)
 
 
-@then('the metrics of the first host told of it')
+@then('the metrics of the first host showed it')
 def step_gauges_first(context):
     for name, least in (
         ('sedgering_caller_answers_waiting', 1),
@@ -347,7 +347,7 @@
         assert min(seen) >= least, (name, seen)
 
 
-@then('the metrics of the first host tell of {count:d} request cut')
+@then('the metrics of the first host count {count:d} request cut')
 def step_cut(context, count):
     gauges = _read_gauges(context.mesh.first.daemon)
     name = 'sedgering_requests_total{{kind="cut",label="{}"}}'
@@ -355,14 +355,14 @@
     assert name.format('call') not in gauges, gauges
 
 
-@then('the metrics of the first host tell of {count:d} answer cut')
+@then('the metrics of the first host count {count:d} answer cut')
 def step_answer_cut(context, count):
     gauges = _read_gauges(context.mesh.first.daemon)
     name = 'sedgering_requests_total{kind="cut",label="answer to a caller"}'
     assert gauges.get(name, 0) == count, gauges
 
 
-@then('the story of "{request_id}" has the line "{message}"')
+@then('the explanation of "{request_id}" has the line "{message}"')
 def step_story(context, request_id, message):
     lines = context.lines.stream.getvalue().splitlines()
     records = list(_explain.read_records(lines))
@@ -379,7 +379,7 @@
 
 
 @then(
-    'a line "leave waits" tells {lag_ms:d} ms of lag and less processor time'
+    'a line "leave waits" reports {lag_ms:d} ms of lag and less processor time'
 )
 def step_lag(context, lag_ms):
     lines = context.lines.list('leave waits')
@@ -388,7 +388,7 @@
     assert late[0]['cpu_ms'] < lag_ms, late
 
 
-@then('a line "leave waits" tells less than {lag_ms:d} ms of lag')
+@then('a line "leave waits" reports less than {lag_ms:d} ms of lag')
 def step_no_lag(context, lag_ms):
     lines = context.lines.list('leave waits')
     assert lines and min(line['lag_ms'] for line in lines) < lag_ms, lines
--- a/sedgering/mesh/_peers.py
+++ b/sedgering/mesh/_peers.py
@@ -294,7 +294,7 @@
         """Ping the daemon."""
         self.is_ping_pending = True
         try:
-            answer = await self.ask(_hop.encode_ping(), 'peer unheard')
+            answer = await self.ask(_hop.encode_ping(), 'peer ping failed')
             if answer is not None:
                 self.heard_s = asyncio.get_running_loop().time()
         finally:
