--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -441,7 +441,7 @@
 def step_allocator(context):
     subject = QuotaSubject()
     hosts = frozenset(f'h{number}' for number in range(4))
-    subject.allocator = quota.TokenAllocator(7)
+    subject.allocator = quota.QuotaAllocator(7)
     subject.allocator.set_hosts(hosts, hosts, subject.now_s)
     context.quota = subject
     for number in range(3):
@@ -451,7 +451,7 @@
 def _start_lease(subject, host, life, at_ms):
     (partition, _other) = quota.list_partitions(1)
     stamp = quota.QuotaStamp(life, at_ms)
-    request = quota.TokenRequest(host, partition, (), stamp)
+    request = quota.QuotaRequest(host, partition, (), stamp)
     subject.allocator.answer(request, subject.now_s)
 
 
@@ -467,8 +467,8 @@
 
 def _find_level(subject):
     (partition,) = subject.allocator.partitions
-    request = quota.TokenRequest(
-        'h9', partition, (quota.TokenNeed('crew', 0, 0),)
+    request = quota.QuotaRequest(
+        'h9', partition, (quota.QuotaNeed('crew', 0, 0),)
     )
     subject.allocator.answer(request, subject.now_s)
     return subject.allocator.find_level(partition, 'crew')
@@ -484,7 +484,7 @@
     subject = context.quota
     (partition,) = subject.allocator.partitions
     for host in ('h0', 'h1'):
-        request = quota.TokenRequest(host, partition, is_last=True)
+        request = quota.QuotaRequest(host, partition, is_last=True)
         subject.allocator.answer(request, subject.now_s)
 
 
@@ -495,19 +495,19 @@
 
 @given('a cache with two tokens that expire at {end_s:g} s')
 def step_cache(context, end_s):
-    context.token_cache = quota.TokenCache()
-    context.token_cache.put('crew', 2, end_s)
+    context.permit_cache = quota.PermitCache()
+    context.permit_cache.put('crew', 2, end_s)
 
 
 @when('one is taken at {taken_s:g} s, and given back at {back_s:g} s')
 def step_put_back(context, taken_s, back_s):
-    permit = context.token_cache.take('crew', taken_s)
-    context.token_cache.put_back(permit, back_s)
+    permit = context.permit_cache.take('crew', taken_s)
+    context.permit_cache.put_back(permit, back_s)
 
 
 @then('no token can be taken at {now_s:g} s')
 def step_no_more(context, now_s):
-    assert context.token_cache.take('crew', now_s) is None
+    assert context.permit_cache.take('crew', now_s) is None
 
 
 @when('the fourth starts a lease at a timestamp that is long past')
@@ -596,8 +596,8 @@
             quotas = host.daemon.state.quotas
             least = 0.9 * quotas.plans['crew'].capacity
             for partition in quotas.allocator.partitions:
-                need = quota.TokenNeed('crew', 0, 0)
-                request = quota.TokenRequest('nobody', partition, (need,))
+                need = quota.QuotaNeed('crew', 0, 0)
+                request = quota.QuotaRequest('nobody', partition, (need,))
                 quotas.allocator.answer(request, quotas.now_s())
                 full += quotas.allocator.find_level(partition, 'crew') >= least
         return full >= quota.PARTITIONS_PER_SHARD
--- a/sedgering/mesh/_quota_client.py
+++ b/sedgering/mesh/_quota_client.py
@@ -182,7 +182,7 @@
 
     async def _send_probe(
         self, host: base.HostId
-    ) -> tuple[base.HostId, quota.TokenGrant | None, float]:
+    ) -> tuple[base.HostId, quota.QuotaGrant | None, float]:
         """Ask a better-ranked host while the present allocator serves."""
         answer = await self.quotas.send(host, self.session.make_probe())
         return host, answer, self.quotas.now_s()
@@ -206,7 +206,7 @@
         self._switch_to(host, answer, answered_s)
 
     def _switch_to(
-        self, host: base.HostId, grant: quota.TokenGrant, now_s: float
+        self, host: base.HostId, grant: quota.QuotaGrant, now_s: float
     ) -> None:
         self.session.note_answer(host, grant, now_s)
         LOG.info(
@@ -235,28 +235,28 @@
         session.note_answer(allocator, grant, now_s)
         self._apply_grant(needs, grant, sent_s)
 
-    def _list_needs(self, now_s: float) -> tuple[quota.TokenNeed, ...]:
+    def _list_needs(self, now_s: float) -> tuple[quota.QuotaNeed, ...]:
         """Return the needs of waiting requests, and of prefetching."""
-        token_cache = self.quotas.token_cache
+        permit_cache = self.quotas.permit_cache
         names = {name: 0 for name, waiting in self._waiting.items() if waiting}
-        for name in token_cache.list_prefetched(now_s):
+        for name in permit_cache.list_prefetched(now_s):
             is_first = self.quotas.find_clients(name)[0] is self
             if is_first and not self.find_exhausted_s(name, now_s):
-                names[name] = token_cache.count_missing(name, now_s)
+                names[name] = permit_cache.count_missing(name, now_s)
         needs = (
-            quota.TokenNeed(name, len(self._waiting.get(name, ())), prefetch)
+            quota.QuotaNeed(name, len(self._waiting.get(name, ())), prefetch)
             for name, prefetch in list(names.items())[:NEEDS_LIMIT]
         )
         return tuple(need for need in needs if need.waiting or need.ahead)
 
     def _apply_grant(
         self,
-        needs: tuple[quota.TokenNeed, ...],
-        grant: quota.TokenGrant,
+        needs: tuple[quota.QuotaNeed, ...],
+        grant: quota.QuotaGrant,
         sent_s: float,
     ) -> None:
         """Cache the granted tokens, and give them to waiting requests."""
-        token_cache = self.quotas.token_cache
+        permit_cache = self.quotas.permit_cache
         now_s = self.quotas.now_s()
         if sent_s <= self.quotas.lowered_at_s:
             # The tokens may have been granted under the former, higher quota.
@@ -268,7 +268,7 @@
             name = need.workspace
             if not self.quotas.is_counted(name):
                 continue
-            token_cache.put(name, count, sent_s + quota.TOKEN_LIFETIME_S)
+            permit_cache.put(name, count, sent_s + quota.TOKEN_LIFETIME_S)
             self._serve(name, now_s)
             if wait_ms:
                 wait_s = max(wait_ms / 1000, self.session.find_unused_s(now_s))
@@ -282,7 +282,7 @@
             if waiting[0].done():
                 waiting.popleft()
                 continue
-            token = self.quotas.token_cache.take(workspace, now_s)
+            token = self.quotas.permit_cache.take(workspace, now_s)
             if token is None:
                 return
             waiting.popleft().set_result(token)
@@ -315,10 +315,10 @@
     def _serve_workspace_standalone(
         self, workspace: base.WorkspaceName, now_s: float
     ) -> None:
-        token_cache = self.quotas.token_cache
+        permit_cache = self.quotas.permit_cache
         for _ in range(len(self._waiting[workspace])):
             count, wait_ms = self.standalone.take(workspace, now_s)
-            token_cache.put(workspace, count, now_s + quota.TOKEN_LIFETIME_S)
+            permit_cache.put(workspace, count, now_s + quota.TOKEN_LIFETIME_S)
             if wait_ms:
                 self._exhausted_until_s[workspace] = now_s + wait_ms / 1000
                 break
--- a/sedgering/mesh/_quota_hop.py
+++ b/sedgering/mesh/_quota_hop.py
@@ -19,11 +19,11 @@
 MARK_HEADER = 'sedgering-quota'
 
 _ENCODER = msgspec.msgpack.Encoder()
-_REQUEST_DECODER = msgspec.msgpack.Decoder(quota.TokenRequest)
-_GRANT_DECODER = msgspec.msgpack.Decoder(quota.TokenGrant)
+_REQUEST_DECODER = msgspec.msgpack.Decoder(quota.QuotaRequest)
+_GRANT_DECODER = msgspec.msgpack.Decoder(quota.QuotaGrant)
 
 
-def encode_request(token_request: quota.TokenRequest) -> bytes:
+def encode_request(token_request: quota.QuotaRequest) -> bytes:
     """Encode a token request as an HTTP request."""
     headers = [('Host', 'peer'), (MARK_HEADER, '1')]
     return transport.encode_request(
@@ -38,7 +38,7 @@
     return request.find(MARK_HEADER) is not None
 
 
-def decode_request(request: transport.Request) -> quota.TokenRequest:
+def decode_request(request: transport.Request) -> quota.QuotaRequest:
     """Decode a token request.
 
     Raises
@@ -49,14 +49,14 @@
     return _REQUEST_DECODER.decode(request.body)
 
 
-def encode_grant(grant: quota.TokenGrant) -> transport.Response:
+def encode_grant(grant: quota.QuotaGrant) -> transport.Response:
     """Encode the answer to a token request."""
     return transport.Response(
         _peer_answers.STATUS_OK, [], _ENCODER.encode(grant)
     )
 
 
-def decode_grant(response: transport.Response) -> quota.TokenGrant:
+def decode_grant(response: transport.Response) -> quota.QuotaGrant:
     """Decode the answer to a token request.
 
     Raises
--- a/sedgering/mesh/_quotas.py
+++ b/sedgering/mesh/_quotas.py
@@ -90,8 +90,8 @@
         self.rng = rng
         self.now_s = now_s
         self.plans: dict[base.WorkspaceName, quota.QuotaPlan] = {}
-        self.token_cache = quota.TokenCache()
-        self.allocator = quota.TokenAllocator(
+        self.permit_cache = quota.PermitCache()
+        self.allocator = quota.QuotaAllocator(
             rng.getrandbits(LIFETIME_ID_BITS)
         )
         self.host_tracker = quota.HostTracker()
@@ -117,12 +117,12 @@
     def take(self, workspace: base.WorkspaceName) -> quota.Permit | None:
         """Count a request, and take a cached token if there is one."""
         now_s = self.now_s()
-        token_cache = self.token_cache
-        token_cache.note_demand(workspace, now_s)
-        token = token_cache.take(workspace, now_s)
+        permit_cache = self.permit_cache
+        permit_cache.note_demand(workspace, now_s)
+        token = permit_cache.take(workspace, now_s)
         if token is None:
             return None
-        if token_cache.is_low(workspace, now_s):
+        if permit_cache.is_low(workspace, now_s):
             self.find_clients(workspace)[0].wake()
         self._count('quota_granted', workspace)
         return token
@@ -157,7 +157,7 @@
 
     def give_back(self, token: quota.Permit) -> None:
         """Return the token of a request that has not run to the cache."""
-        self.token_cache.put_back(token, self.now_s())
+        self.permit_cache.put_back(token, self.now_s())
         self._count('quota_returned', token.workspace)
 
     def find_pause_s(self, workspace: base.WorkspaceName) -> float:
@@ -196,8 +196,8 @@
         return _quota_hop.encode_grant(grant)
 
     async def send(
-        self, host: base.HostId, token_request: quota.TokenRequest
-    ) -> quota.TokenGrant | None:
+        self, host: base.HostId, token_request: quota.QuotaRequest
+    ) -> quota.QuotaGrant | None:
         """Send a token request to a host; None when it does not answer."""
         if host == self.identity.host:
             return self.allocator.answer(token_request, self.now_s())
@@ -247,7 +247,7 @@
             if self.plans[name].rate_per_s < old[name].rate_per_s
             or self.plans[name].capacity < old[name].capacity
         )
-        self.token_cache.retain(frozenset(self.plans), lowered)
+        self.permit_cache.retain(frozenset(self.plans), lowered)
         if lowered:
             self.lowered_at_s = now_s
         self.allocator.set_plans(self.plans, now_s)
@@ -313,7 +313,7 @@
         sessions = [client.session for client in self._clients.values()]
         now_s = self.now_s()
         return {
-            'quota_tokens_held': self.token_cache.count_held(now_s),
+            'quota_tokens_held': self.permit_cache.count_held(now_s),
             'quota_shards_kept': sum(
                 self.allocator.find_leased_share(partition) > 0
                 for partition in self.allocator.partitions
--- a/sedgering/quota/__init__.py
+++ b/sedgering/quota/__init__.py
@@ -9,13 +9,15 @@
 (docs/design/0020).
 """
 
-from sedgering.quota._allocator import TokenAllocator
+from sedgering.quota._allocator import QuotaAllocator
 from sedgering.quota._buckets import LeasedBuckets
 from sedgering.quota._hosts import HostTracker
+from sedgering.quota._messages import QuotaGrant
+from sedgering.quota._messages import QuotaNeed
+from sedgering.quota._messages import QuotaRequest
 from sedgering.quota._messages import QuotaStamp
-from sedgering.quota._messages import TokenGrant
-from sedgering.quota._messages import TokenNeed
-from sedgering.quota._messages import TokenRequest
+from sedgering.quota._permit_cache import Permit
+from sedgering.quota._permit_cache import PermitCache
 from sedgering.quota._plan import make_plans
 from sedgering.quota._plan import QuotaBounds
 from sedgering.quota._plan import QuotaPlan
@@ -31,8 +33,6 @@
 from sedgering.quota._session import AllocatorSession
 from sedgering.quota._session import LEASE_S
 from sedgering.quota._standalone import StandaloneBuckets
-from sedgering.quota._token_cache import Permit
-from sedgering.quota._token_cache import TokenCache
 
 __all__ = [
     'AllocatorSession',
@@ -42,16 +42,16 @@
     'PARTITIONS_PER_SHARD',
     'PartitionId',
     'Permit',
+    'PermitCache',
+    'QuotaAllocator',
     'QuotaBounds',
+    'QuotaGrant',
+    'QuotaNeed',
     'QuotaPlan',
+    'QuotaRequest',
     'QuotaStamp',
     'StandaloneBuckets',
     'TOKEN_LIFETIME_S',
-    'TokenAllocator',
-    'TokenCache',
-    'TokenGrant',
-    'TokenNeed',
-    'TokenRequest',
     'choose_first_partition',
     'count_shards',
     'find_partitions',
--- a/sedgering/quota/_allocator.py
+++ b/sedgering/quota/_allocator.py
@@ -7,14 +7,14 @@
 from sedgering.quota import _ranking
 from sedgering.quota import _session
 
-__all__ = ['TokenAllocator']
+__all__ = ['QuotaAllocator']
 
 #: Partitions held at a time.  There are more only while daemons disagree on
 #: the number of shards.
 PARTITIONS_LIMIT = 16
 
 
-class TokenAllocator:
+class QuotaAllocator:
     """The buckets of all partitions for which this daemon is asked.
 
     A daemon becomes the allocator of a partition when it is first asked for
@@ -98,13 +98,13 @@
             buckets.set_hosts(counted, now_s)
 
     def answer(
-        self, request: _messages.TokenRequest, now_s: float
-    ) -> _messages.TokenGrant:
+        self, request: _messages.QuotaRequest, now_s: float
+    ) -> _messages.QuotaGrant:
         """Apply the lease of a daemon, and grant it tokens.
 
         Parameters
         ----------
-        request : TokenRequest
+        request : QuotaRequest
             From another daemon or from this one.
         now_s : float
             Time of the event loop.
@@ -125,7 +125,7 @@
             buckets.grant(need.workspace, need.waiting, need.ahead, now_s)
             for need in request.needs
         ]
-        return _messages.TokenGrant(
+        return _messages.QuotaGrant(
             _messages.QuotaStamp(self.lifetime_id, int(1000 * now_s)),
             tuple(tokens for tokens, _wait_ms in grants),
             tuple(wait_ms for _tokens, wait_ms in grants),
@@ -134,7 +134,7 @@
     def _start_lease(
         self,
         buckets: _buckets.LeasedBuckets,
-        request: _messages.TokenRequest,
+        request: _messages.QuotaRequest,
         now_s: float,
     ) -> None:
         stamp = request.lent_from
--- a/sedgering/quota/_buckets.py
+++ b/sedgering/quota/_buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets of one partition, refilled by leased rate shares."""
+"""The token buckets of one partition, refilled by leased rate shares."""
 
 from collections.abc import Callable
 import math
@@ -36,7 +36,7 @@
 
 
 class LeasedBuckets:
-    """Token buckets, and the leases of the hosts whose shares refill them.
+    """Buckets of tokens, and the leases of the hosts that refill them.
 
     Parameters
     ----------
@@ -175,7 +175,7 @@
         waiting : int
             Requests that wait for a token.
         prefetch : int
-            Tokens wanted for expected requests.
+            Number of tokens wanted for expected requests.
         now_s : float
             Time of the event loop.
 
--- a/sedgering/quota/_messages.py
+++ b/sedgering/quota/_messages.py
@@ -5,7 +5,7 @@
 from sedgering import base
 from sedgering.quota import _ranking
 
-__all__ = ['QuotaStamp', 'TokenGrant', 'TokenNeed', 'TokenRequest']
+__all__ = ['QuotaStamp', 'QuotaGrant', 'QuotaNeed', 'QuotaRequest']
 
 
 class QuotaStamp(msgspec.Struct, frozen=True, array_like=True):
@@ -23,7 +23,7 @@
     at_ms: base.Count
 
 
-class TokenNeed(msgspec.Struct, frozen=True, array_like=True):
+class QuotaNeed(msgspec.Struct, frozen=True, array_like=True):
     """The tokens of one workspace that a daemon needs.
 
     Parameters
@@ -41,7 +41,7 @@
     ahead: base.Count
 
 
-class TokenRequest(msgspec.Struct, frozen=True, array_like=True):
+class QuotaRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks an allocator for tokens, and leases it a host's rate share.
 
     Parameters
@@ -50,7 +50,7 @@
         The sender.
     shard : str
         Id of the partition that holds all the workspaces.
-    needs : tuple of TokenNeed
+    needs : tuple of QuotaNeed
         Empty when the request only starts, extends or ends a lease, or probes
         the allocator.
     lent_from : QuotaStamp or None
@@ -63,12 +63,12 @@
 
     host: base.HostId
     shard: _ranking.PartitionId
-    needs: tuple[TokenNeed, ...] = ()
+    needs: tuple[QuotaNeed, ...] = ()
     lent_from: QuotaStamp | None = None
     is_last: bool = False
 
 
-class TokenGrant(msgspec.Struct, frozen=True, array_like=True):
+class QuotaGrant(msgspec.Struct, frozen=True, array_like=True):
     """Answer of an allocator to a token request.
 
     Parameters
--- a/sedgering/quota/_token_cache.py
+++ b/sedgering/quota/_permit_cache.py
@@ -1,4 +1,4 @@
-"""Tokens that a daemon holds, and how many more it will need."""
+"""The tokens that a daemon holds, and how many more it will need."""
 
 import math
 
@@ -6,12 +6,12 @@
 
 from sedgering import base
 
-__all__ = ['Permit', 'TokenCache']
+__all__ = ['Permit', 'PermitCache']
 
 #: Time constant of the average demand of a workspace at this daemon.
 DEMAND_TIME_CONSTANT_S = 1.0
-#: Tokens are prefetched for the demand of so long: a round trip takes 3 ms,
-#: and unused tokens expire.
+#: A daemon holds tokens for the expected demand of this time: a round trip
+#: takes 3 ms, and unused tokens expire.
 PREFETCH_S = 0.35
 #: Below this demand tokens are fetched only for requests that wait; most
 #: prefetched ones would expire unused.
@@ -44,7 +44,7 @@
     demand_at_s: float = -math.inf
 
 
-class TokenCache:
+class PermitCache:
     """The tokens of all workspaces at one daemon."""
 
     def __init__(self):
--- a/sedgering/quota/_session.py
+++ b/sedgering/quota/_session.py
@@ -20,10 +20,11 @@
 #: Length of a lease.  When an allocator crashes, the shares leased to it are
 #: unused for so long.  Each host renews its lease at least twice in this time.
 LEASE_S = 1.2
-#: The lessor waits for this much longer: the clocks of two hosts differ a
-#: little in speed.
+#: Added to the length of a lease by the host that grants it, because the
+#: clocks of two hosts differ a little in speed.
 LEASE_MARGIN_S = 0.02
-#: Hosts, best first, that are probed at a time when there is no allocator.
+#: Number of best-ranked hosts that are probed together when there is no
+#: allocator.
 CANDIDATES_LIMIT = 4
 #: Requests in a row without an answer after which the allocator is given up.
 #: A lost packet is sent again after 0.2 s.
@@ -121,30 +122,30 @@
         return max(0.0, self.lease_end_s - now_s)
 
     def make_request(
-        self, needs: tuple[_messages.TokenNeed, ...], now_s: float
-    ) -> _messages.TokenRequest:
+        self, needs: tuple[_messages.QuotaNeed, ...], now_s: float
+    ) -> _messages.QuotaRequest:
         """Make the next token request, with a lease where one is allowed."""
         if not self.may_lease(now_s):
-            return _messages.TokenRequest(self.host, self.partition, needs)
+            return _messages.QuotaRequest(self.host, self.partition, needs)
         end_s = self.stamp_received_s + LEASE_S + LEASE_MARGIN_S
         self.leased_to = self.allocator
         self.lease_end_s = max(self.lease_end_s, end_s)
-        return _messages.TokenRequest(
+        return _messages.QuotaRequest(
             self.host, self.partition, needs, self.stamp
         )
 
-    def make_probe(self) -> _messages.TokenRequest:
+    def make_probe(self) -> _messages.QuotaRequest:
         """Make a request that only checks whether a host answers."""
-        return _messages.TokenRequest(self.host, self.partition)
+        return _messages.QuotaRequest(self.host, self.partition)
 
-    def make_release(self) -> _messages.TokenRequest:
+    def make_release(self) -> _messages.QuotaRequest:
         """Make a request that ends the lease."""
-        return _messages.TokenRequest(self.host, self.partition, is_last=True)
+        return _messages.QuotaRequest(self.host, self.partition, is_last=True)
 
     def note_answer(
         self,
         allocator: base.HostId,
-        grant: _messages.TokenGrant,
+        grant: _messages.QuotaGrant,
         now_s: float,
     ) -> None:
         """Note that a host has answered, and use it as the allocator."""
--- a/sedgering/quota/_standalone.py
+++ b/sedgering/quota/_standalone.py
@@ -1,4 +1,4 @@
-"""Tokens of a daemon that reaches no allocator."""
+"""The tokens of a daemon that reaches no allocator."""
 
 from sedgering import base
 from sedgering.quota import _buckets
@@ -45,7 +45,7 @@
         established: frozenset[base.HostId],
         now_s: float,
     ) -> None:
-        """Set the hosts that share the rates; see `TokenAllocator`."""
+        """Set the hosts that share the rates; see `QuotaAllocator`."""
         self._is_established = self.host in established
         if counted == self._counted:
             return
