--- a/features/quotas.feature
+++ b/features/quotas.feature
@@ -71,16 +71,16 @@
     Then requests of a workspace need no token
 
   Scenario: Leases of another lifetime, and requests that arrive late
-    Given an allocator with four hosts of which three hold a lease
-    When the fourth starts a lease at a timestamp that is long past
+    Given an allocator with four hosts of which three lease their share
+    When the fourth leases its share from a timestamp that is long past
     Then three quarters of the rates are leased
-    When it starts a lease at a timestamp of another lifetime
+    When it leases its share from a timestamp of another lifetime
     Then three quarters of the rates are leased
-    When a host that is no member starts a lease
+    When a host that is no member leases a share
     Then three quarters of the rates are leased
 
   Scenario: A bucket holds no more than the leased share of its capacity
-    Given an allocator with four hosts of which three hold a lease
+    Given an allocator with four hosts of which three lease their share
     When no tokens of a workspace are requested for a second
     Then its bucket holds three quarters of the capacity of a partition
     When two of the three end their leases
@@ -134,10 +134,10 @@
   Scenario: An allocator of a mesh is killed
     The one partition that is left has 56 tokens and must grant the 40 that
     are asked for, so both buckets must be full before.  When the test began as
-    soon as all hosts held leases, it failed once in 12 runs; with half-full
-    buckets once in 6 (35 answered, 5 refused with 429).  The requests are sent
-    one after the other: with 40 at once the gates were full too, and 3 runs in
-    10 had refusals with 503.
+    soon as all hosts had leased their shares, it failed once in 12 runs; with
+    half-full buckets once in 6 (35 answered, 5 refused with 429).  The requests
+    are sent one after the other: with 40 at once the gates were full too, and
+    3 runs in 10 had refusals with 503.
     Given a mesh of four hosts with a quota of 200 a second for "crew"
     And the buckets of both partitions are full
     When an allocator is killed, and callers of another host send 40 requests
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -437,7 +437,7 @@
     assert context.quotas.find_gauges() == {}
 
 
-@given('an allocator with four hosts of which three hold a lease')
+@given('an allocator with four hosts of which three lease their share')
 def step_allocator(context):
     subject = QuotaSubject()
     hosts = frozenset(f'h{number}' for number in range(4))
@@ -510,17 +510,17 @@
     assert context.permit_cache.take('crew', now_s) is None
 
 
-@when('the fourth starts a lease at a timestamp that is long past')
+@when('the fourth leases its share from a timestamp that is long past')
 def step_late(context):
     _start_lease(context.quota, 'h3', 7, 5000)
 
 
-@when('it starts a lease at a timestamp of another lifetime')
+@when('it leases its share from a timestamp of another lifetime')
 def step_other_lifetime(context):
     _start_lease(context.quota, 'h3', 8, 10_000)
 
 
-@when('a host that is no member starts a lease')
+@when('a host that is no member leases a share')
 def step_no_member(context):
     _start_lease(context.quota, 'h9', 7, 10_000)
 
@@ -579,7 +579,7 @@
         self.answers = []
 
     def is_leased(self):
-        """Whether all hosts hold leases, so that the buckets fill."""
+        """Whether all hosts lease their shares, so that the buckets fill."""
         shares = [
             allocator.find_leased_share(partition)
             for allocator in (
--- a/sedgering/quota/_allocator.py
+++ b/sedgering/quota/_allocator.py
@@ -40,13 +40,13 @@
         return tuple(self._buckets)
 
     def find_leased_share(self, partition: _ranking.PartitionId) -> float:
-        """Return the share of all hosts with a lease in a partition."""
+        """Return the part of all hosts that lease their shares."""
         return self._buckets[partition].leased_share
 
     def list_leased_hosts(
         self, partition: _ranking.PartitionId, now_s: float
     ) -> list[base.HostId]:
-        """Return the hosts that hold a lease in a partition."""
+        """Return the hosts whose shares are leased in a partition."""
         buckets = self._buckets.get(partition)
         return buckets.list_leased_hosts(now_s) if buckets else []
 
@@ -86,7 +86,7 @@
         counted : frozenset of HostId
             Hosts among which each rate is divided.
         established : frozenset of HostId
-            Those of them that may hold leases.
+            Those of them that may lease their shares.
         now_s : float
             Time of the event loop.
         """
--- a/sedgering/quota/_buckets.py
+++ b/sedgering/quota/_buckets.py
@@ -48,7 +48,7 @@
         Time of the event loop.
     find_capacity : callable
         Returns the capacity of a bucket from its workspace, its plan and the
-        share of the hosts that hold a lease.
+        part of all hosts whose shares are leased.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
 
     @property
     def leased_share(self) -> float:
-        """Share of all hosts that hold a lease, 0 to 1."""
+        """Part of all hosts whose shares are leased, 0 to 1."""
         return min(1.0, len(self._lease_ends_s) / self.hosts)
 
     def list_leased_hosts(self, now_s: float) -> list[base.HostId]:
-        """Return the hosts that hold a lease."""
+        """Return the hosts whose shares are leased."""
         return [
             host for host, end_s in self._lease_ends_s.items() if end_s > now_s
         ]
--- a/sedgering/quota/_hosts.py
+++ b/sedgering/quota/_hosts.py
@@ -60,7 +60,7 @@
         return self.present | self._grace_ends_s.keys()
 
     def list_established(self, now_s: float) -> frozenset[base.HostId]:
-        """Return the hosts that may hold leases: all counted but new ones."""
+        """Return the hosts that may lease their shares: all but new ones."""
         for host in [
             host
             for host, appeared_s in self._appeared_s.items()
--- a/sedgering/quota/_ranking.py
+++ b/sedgering/quota/_ranking.py
@@ -2,7 +2,7 @@
 
 Workspaces are hashed to shards.  Each shard has two partitions, with an
 allocator and half of all rates each: when one allocator crashes, the tokens
-of the other partition serve until a successor holds leases.
+of the other partition serve until hosts lease their shares to a successor.
 """
 
 from collections.abc import Iterable
--- a/sedgering/quota/_session.py
+++ b/sedgering/quota/_session.py
@@ -20,8 +20,8 @@
 #: Length of a lease.  When an allocator crashes, the shares leased to it are
 #: unused for so long.  Each host renews its lease at least twice in this time.
 LEASE_S = 1.2
-#: Added to the length of a lease by the host that grants it, because the
-#: clocks of two hosts differ a little in speed.
+#: Added to the length of a lease by the host whose share is leased, because
+#: the clocks of two hosts differ a little in speed.
 LEASE_MARGIN_S = 0.02
 #: Number of best-ranked hosts that are probed together when there is no
 #: allocator.
@@ -65,7 +65,7 @@
         #: The last timestamp of the allocator, and when it was received.
         self.stamp: _messages.QuotaStamp | None = None
         self.stamp_received_s = now_s
-        #: Which host may hold the lease of this host's share, and until when.
+        #: Which allocator may use this host's share, and until when.
         self.leased_to = NO_HOST
         self.lease_end_s = now_s + LEASE_S + LEASE_MARGIN_S
         #: Until when a request that timed out may still start a lease.
