--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -552,7 +552,7 @@
     driver.source = _ClocklessSource(host.daemon.source)
     entry = _rollout_log.RolloutNews((make_order(),))
     driver.source.rollouts.merge(entry)
-    fleet.run(driver._follow(SET))
+    fleet.run(driver._advance(SET))
     assert not driver.source.rollout_store.written
 
 
--- a/sedgering/mesh/_config.py
+++ b/sedgering/mesh/_config.py
@@ -1,4 +1,4 @@
-"""The bundle in force with the limits that came with it."""
+"""Bundle in force, with the limits and health paths of its version."""
 
 import collections
 import logging
@@ -16,16 +16,16 @@
 
 
 class AcceptedConfig(msgspec.Struct, frozen=True):
-    """One version as the operator wrote it.
+    """One configuration version as the operator wrote it.
 
     Parameters
     ----------
     version : int
-        Grows from one to the next.
+        Version number; increases with each version.
     bundle : Bundle
         Routes, target sets and policies.
     limits : CallerLimits
-        What callers may send.
+        Limits on the requests of callers.
     health_paths : dict of str to str
         Path of the health check of each target set.
     """
@@ -37,12 +37,12 @@
 
 
 class ConfigHolder:
-    """Holds the version in force; only a greater one replaces it.
+    """Holds the version in force; only a newer one replaces it.
 
     Parameters
     ----------
     mesh : str
-        Mesh whose bundles are accepted.
+        Name of the mesh whose bundles are accepted.
     """
 
     def __init__(self, mesh: str):
@@ -53,12 +53,12 @@
 
     @property
     def snapshot(self) -> bundles.Snapshot | None:
-        """The bundle in force, or None before the first one."""
+        """Snapshot of the bundle in force, or None before the first one."""
         return self.bundles.snapshot
 
     @property
     def version(self) -> base.Version:
-        """Version in force."""
+        """Number of the version in force."""
         return self.bundles.version
 
     def apply(self, config: AcceptedConfig) -> bool:
--- a/sedgering/mesh/_evidence_hop.py
+++ b/sedgering/mesh/_evidence_hop.py
@@ -1,4 +1,4 @@
-"""Questions of daemons for what a target has shown of its version."""
+"""Requests between daemons for the evidence on a target's version."""
 
 import msgspec
 
@@ -15,48 +15,48 @@
 ]
 
 PATH = '/evidence'
-#: Revision of the order that is asked about.
-MARK = 'sedgering-evidence'
+#: Header field with the revision of the order.
+ORDER_REVISION_FIELD = 'sedgering-evidence'
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(rollout.Evidence)
 
 
 def encode_question(order_revision: int) -> bytes:
-    """Encode a question to another daemon."""
-    headers = [('Host', 'peer'), (MARK, str(order_revision))]
+    """Encode an evidence request to another daemon."""
+    headers = [('Host', 'peer'), (ORDER_REVISION_FIELD, str(order_revision))]
     return transport.encode_request(transport.Request('GET', PATH, headers))
 
 
 def is_question(request: transport.Request) -> bool:
-    """Say whether another daemon asks for evidence."""
-    return request.find(MARK) is not None
+    """Whether a request is an evidence request of another daemon."""
+    return request.find(ORDER_REVISION_FIELD) is not None
 
 
 def decode_question(request: transport.Request) -> int:
-    """Return the revision of the order that is asked about.
+    """Return the order revision of an evidence request.
 
     Raises
     ------
     ValueError
-        When it is none.
+        If the field is not an integer.
     """
-    return int(request.find(MARK))
+    return int(request.find(ORDER_REVISION_FIELD))
 
 
 def encode_evidence(evidence: rollout.Evidence) -> transport.Response:
-    """Encode the answer."""
+    """Encode the answer to an evidence request."""
     return transport.Response(
         _peer_answers.STATUS_OK, [], _ENCODER.encode(evidence)
     )
 
 
 def decode_evidence(response: transport.Response) -> rollout.Evidence:
-    """Decode the answer.
+    """Decode the answer to an evidence request.
 
     Raises
     ------
     PeerError
-        When it is none.
+        If the response is not a valid answer.
     """
     return _peer_answers.decode_peer_answer(response, _DECODER.decode)
--- a/sedgering/mesh/_fleet.py
+++ b/sedgering/mesh/_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts and their targets, as this daemon believes them to be."""
+"""Hosts and their targets, as far as this daemon knows."""
 
 import logging
 
@@ -13,19 +13,19 @@
 
 
 class FleetTable:
-    """Member rows by host, and the open ones by target set.
+    """Member rows by host, and those that take calls by target set.
 
-    Rows come from the store.  After a loss of power all of them name targets
-    that are gone, and the new ones come some 0.4 s after they were written;
-    so what a daemon tells of its own target is believed until the store has
-    another row of its host.
+    Rows come from the store.  After a power failure all stored rows name
+    targets that have ended, and the new rows arrive some 0.4 s after they
+    were written.  So a row that a daemon reports of its own target overrides
+    the stored row until the store has another row of that host.
     """
 
     def __init__(self):
-        #: As the store has them.
+        #: Rows in the store.
         self._stored: dict[base.HostId, _messages.MemberRow] = {}
-        #: What daemons told since, in place of the stored rows.
-        self._told: dict[base.HostId, _messages.MemberRow] = {}
+        #: Newer rows reported by daemons, which override the stored rows.
+        self._reported: dict[base.HostId, _messages.MemberRow] = {}
         self.members: dict[base.HostId, _messages.MemberRow] = {}
         self.by_set: dict[
             base.TargetSetName, tuple[_messages.MemberRow, ...]
@@ -35,19 +35,19 @@
         self.trials: dict[
             base.TargetSetName, tuple[_messages.MemberRow, ...]
         ] = {}
-        #: Whether rows are left out whose address another host has.
+        #: Whether rows are hidden because another host has their address.
         self._has_hidden = False
-        #: Orders and rollouts; None where the operator orders none.
+        #: Orders and rollouts; None if rollouts are not in use.
         self.rollouts: _rollout_log.RolloutLog | None = None
 
     def note_rollouts(self) -> None:
-        """Work out anew which targets may get calls."""
+        """Recompute which targets may get calls."""
         self._index(None)
 
     def list_ready(
         self, target_set: base.TargetSetName
     ) -> list[_messages.MemberRow]:
-        """Return the targets of a set that take calls, of any version."""
+        """Return the ready targets of a set, of any version."""
         return [
             row
             for row in self._list_latest()
@@ -58,48 +58,48 @@
     def replace(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> list[_messages.MemberRow]:
-        """Take over the list as the store has it.
+        """Replace the stored rows.
 
         Returns
         -------
         list of MemberRow
-            Those whose target has started since, under whatever id.
+            Rows whose target has started since, under the same id or another.
         """
-        self._told = {
+        self._reported = {
             host: row
-            for host, row in self._told.items()
+            for host, row in self._reported.items()
             if members.get(host) == self._stored[host]
-            or _is_earlier(members.get(host), row)
+            or _is_earlier_lifetime(members.get(host), row)
         }
         self._stored = members
-        return self._take({**members, **self._told})
+        return self._apply({**members, **self._reported})
 
     def take_told(self, row: _messages.MemberRow) -> bool:
-        """Believe what a daemon tells of the target beside it.
+        """Accept the row that a daemon reports of the target beside it.
 
         Returns
         -------
         bool
-            Whether it was news.  A host without a row is leaving, or has
-            just come, and nobody is told of it.
+            Whether it changed anything.  A host without a stored row is
+            leaving or has just joined; its reports are ignored.
         """
         if self._stored.get(row.host) is None:
             return False
         known = self.members[row.host]
         if known == row or row.lifetime.is_before(known.lifetime):
             return False
-        self._told[row.host] = row
-        self._take({**self.members, row.host: row})
+        self._reported[row.host] = row
+        self._apply({**self.members, row.host: row})
         return True
 
-    def _take(
+    def _apply(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> list[_messages.MemberRow]:
-        """Put a list in force; return the rows with a new target.
+        """Apply new rows; return those with a new target.
 
-        A row that has not changed is the same object.  Only the sets of the
-        others are indexed anew: 130 us rather than 340 with 120 hosts, for
-        each row that any of them writes (bench_members.py).
+        An unchanged row is the same object.  Only the target sets of the
+        other rows are indexed again: with 120 hosts, this takes 130 us rather
+        than 340 us for each row that any host writes (bench_members.py).
         """
         started = []
         changed = set()
@@ -108,7 +108,7 @@
             if old is row:
                 continue
             if old != row:
-                _log_change('member changed' if old else 'member new', row)
+                _log_change('member changed' if old else 'member added', row)
                 changed.add(row.target_set)
             if old is None or old.lifetime != row.lifetime:
                 started.append(row)
@@ -124,11 +124,11 @@
         return started
 
     def _index(self, changed: set[base.TargetSetName] | None) -> None:
-        """Work out which targets get calls; of all sets where None is told."""
+        """Recompute the targets that get calls; of all sets if None."""
         latest = self._list_latest()
         has_hidden = len(latest) < len(self.members)
         if has_hidden or self._has_hidden:
-            # Rows of other sets may have come out or gone.
+            # Rows of other sets may have become visible or hidden.
             changed = None
         self._has_hidden = has_hidden
         by_set: dict[base.TargetSetName, list[_messages.MemberRow]] = {}
@@ -151,21 +151,21 @@
         target_set: base.TargetSetName,
         rows: list[_messages.MemberRow],
     ) -> list[_messages.MemberRow]:
-        """Return the targets of a set to which calls go as usual."""
+        """Return the targets of a set that get calls outside of a trial."""
         if self.rollouts is None:
             return rows
         permits = self.find_permits(target_set)
-        usual = [row for row in rows if permits.may_send(row.version)]
+        stable = [row for row in rows if permits.may_send(row.version)]
         if permits.trial is not None:
-            self._choose_trials(target_set, permits.trial, usual, rows)
-        if not usual and permits.draining is not None:
-            # No target of the new version is there: those of the old one
-            # serve as long as they may.
-            usual = [row for row in rows if row.version == permits.draining]
-        return usual
+            self._choose_trials(target_set, permits.trial, stable, rows)
+        if not stable and permits.draining is not None:
+            # No target of the new version is ready: the old ones serve while
+            # they are permitted to.
+            stable = [row for row in rows if row.version == permits.draining]
+        return stable
 
     def find_permits(self, target_set: base.TargetSetName) -> rollout.Permits:
-        """Say which versions of the targets of a set may get calls."""
+        """Decide which versions of the targets of a set may get calls."""
         versions = [
             row.version
             for row in self.members.values()
@@ -178,7 +178,7 @@
         target_set: base.TargetSetName,
         version: base.SoftwareVersion,
     ) -> bool:
-        """Whether a target may run calls, by the version that it has."""
+        """Whether a target may run calls, given its version."""
         if self.rollouts is None:
             return True
         return self.find_permits(target_set).may_run(version)
@@ -187,17 +187,17 @@
         self,
         target_set: base.TargetSetName,
         version: base.SoftwareVersion,
-        usual: list[_messages.MemberRow],
+        stable: list[_messages.MemberRow],
         rows: list[_messages.MemberRow],
     ) -> None:
         hosts = [row.host for row in rows if row.version == version]
-        exposed = rollout.choose_exposed(hosts, len(usual))
+        exposed = rollout.choose_exposed(hosts, len(stable))
         self.trials[target_set] = tuple(
             row for row in rows if row.host in exposed
         )
 
     def _list_latest(self) -> list[_messages.MemberRow]:
-        """Leave out rows whose address another host has taken over."""
+        """Return the rows, without those whose address another host has."""
         by_address = {
             (row.address, row.port): row for row in self.members.values()
         }
@@ -208,11 +208,11 @@
     return row.host
 
 
-def _is_earlier(
-    stored: _messages.MemberRow | None, told: _messages.MemberRow
+def _is_earlier_lifetime(
+    stored: _messages.MemberRow | None, reported: _messages.MemberRow
 ) -> bool:
-    """Whether the store still has an earlier lifetime of a target."""
-    return stored is not None and stored.lifetime.is_before(told.lifetime)
+    """Whether the stored row is of an earlier lifetime of the target."""
+    return stored is not None and stored.lifetime.is_before(reported.lifetime)
 
 
 def _log_change(message: str, row: _messages.MemberRow) -> None:
--- a/sedgering/mesh/_rollout_driver.py
+++ b/sedgering/mesh/_rollout_driver.py
@@ -1,8 +1,9 @@
-"""Follows orders of rollouts: gathers evidence, writes each next stage.
+"""Carries out rollout orders: gathers evidence and writes each next stage.
 
-No daemon is appointed.  Those that watch the store take turns: the first by
-rank follows an order from the start, the others join it a moment later each,
-and every row is written on condition that nobody was quicker.
+There is no elected leader.  The daemons that watch the store are ranked: the
+first one carries out an order from the start, and each other one joins after a
+delay that grows with its rank.  Every row is written by compare-and-set, so
+that only the first of several writers succeeds.
 """
 
 import asyncio
@@ -26,37 +27,38 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Between two looks while an order is followed; a version that fails half of
-#: its calls is seen after one or two of them.
-LOOK_S = 0.4
-#: Targets of each version that are asked in a look.  Twelve of each cost 12 ms
-#: of processor time over all hosts.
-ASKED_LIMIT = 12
-#: The same for the old version once it is to end: none may have work left.
-ALL_LIMIT = 512
-#: Time after which the next daemon by rank follows a stage, too.
-TURN_S = 1.2
-#: Daemons that may follow one order at a time, at most.
-TURNS_LIMIT = 6
-#: Revision of a row that is not there.
+#: Interval of polls during a rollout; a version that fails half of its calls
+#: is detected after one or two of them.
+POLL_INTERVAL_S = 0.4
+#: Targets of each version that are queried in a poll.  Twelve of each cost
+#: 12 ms of processor time over all hosts.
+QUERIED_LIMIT = 12
+#: The same for the old version in the settling stage, in which no target may
+#: have work left.
+QUERIED_SETTLING_LIMIT = 512
+#: Delay after which the next daemon by rank works on a stage, too.
+RANK_DELAY_S = 1.2
+#: Most daemons that may work on one order at a time.
+ACTIVE_DAEMONS_LIMIT = 6
+#: Revision that stands for a row that does not exist.
 NO_ROW = 0
 
 _Stage = rollout.Stage
 
 
 class RolloutDriver:
-    """Takes rollouts from stage to stage.
+    """Advances rollouts from stage to stage.
 
     Parameters
     ----------
     identity : MeshIdentity
-        Who this daemon is.
+        Identity of this daemon.
     fleet : FleetTable
         Targets and their versions.
     peers : PeerTable
-        Connections to the daemons beside them.
+        Connections to the daemons beside the targets.
     source : MeshSource
-        Orders, rows, and the clock of the store.
+        Source of orders, rows and the time of the store.
     """
 
     def __init__(
@@ -70,43 +72,44 @@
         self.fleet = fleet
         self.peers = peers
         self.source = source
-        #: When the present stage of each set was first seen here.
-        self._seen_s: dict[tuple, float] = {}
+        #: When this daemon first saw the current stage of each set.
+        self._first_seen_s: dict[tuple, float] = {}
 
     async def run(self) -> None:
-        """Follow orders until cancelled."""
+        """Carry out orders until cancelled."""
         while True:
             names = self.source.rollouts.list_open()
             if not names or not self.source.is_watching:
-                self._seen_s.clear()
+                self._first_seen_s.clear()
                 await self.source.wait_for_change(_source.POLLED_S)
                 continue
             for name in names:
-                await self._follow_safely(name)
-            await asyncio.sleep(LOOK_S)
+                await self._advance_safely(name)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _follow_safely(self, target_set: base.TargetSetName) -> None:
+    async def _advance_safely(self, target_set: base.TargetSetName) -> None:
         try:
-            await self._follow(target_set)
+            await self._advance(target_set)
         except Exception:
-            # A defect must not end the task: no order would be followed.
-            LOG.exception('rollout not followed')
+            # An unexpected error must not end the task, as no order would be
+            # carried out any more.
+            LOG.exception('cannot advance rollout')
 
-    async def _follow(self, target_set: base.TargetSetName) -> None:
-        """Take one rollout on, if it is due and this daemon's turn."""
+    async def _advance(self, target_set: base.TargetSetName) -> None:
+        """Advance one rollout, if that is due and this daemon's turn."""
         log = self.source.rollouts
         is_known = log.is_known and log.is_order_known(target_set)
         is_due = is_known and self.source.store_now_ms is not None
-        if not is_due or not self._is_my_turn(target_set):
+        if not is_due or not self._is_own_turn(target_set):
             return
         entry = log.find_entry(target_set)
         order = log.find_new_order(target_set)
         if order is not None:
-            await self._begin(order, entry)
+            await self._start_rollout(order, entry)
         elif entry is not None:
-            await self._go_on(log.find_order(target_set), entry)
+            await self._advance_stage(log.find_order(target_set), entry)
 
-    def _is_my_turn(self, target_set: base.TargetSetName) -> bool:
+    def _is_own_turn(self, target_set: base.TargetSetName) -> bool:
         log = self.source.rollouts
         entry = log.find_entry(target_set)
         order = log.find_order(target_set)
@@ -116,9 +119,12 @@
             entry.revision if entry else 0,
         )
         now_s = self.source.loop.time()
-        seen_s = self._seen_s.setdefault(stage, now_s)
+        first_seen_s = self._first_seen_s.setdefault(stage, now_s)
         rank = self._find_rank(target_set)
-        return rank < TURNS_LIMIT and now_s >= seen_s + rank * TURN_S
+        return (
+            rank < ACTIVE_DAEMONS_LIMIT
+            and now_s >= first_seen_s + rank * RANK_DELAY_S
+        )
 
     def _find_rank(self, target_set: base.TargetSetName) -> int:
         """Return this daemon's rank among those that watch the store."""
@@ -132,20 +138,24 @@
         hosts.sort(key=lambda host: rollout.rank_host(host, f'{target_set} '))
         return hosts.index(own)
 
-    async def _begin(
+    async def _start_rollout(
         self,
         order: rollout.Order,
         entry: _rollout_log.RolloutEntry | None,
     ) -> None:
-        """Write the first row that follows an order."""
-        old = entry.rollout.final_version if entry else self._find_old(order)
+        """Write the first row for an order."""
+        old = (
+            entry.rollout.final_version
+            if entry
+            else self._find_old_version(order)
+        )
         if old == rollout.UNKNOWN_VERSION:
             return
         row = rollout.make_rollout(order, old, self.source.store_now_ms)
         await self._write(row, entry.revision if entry else NO_ROW)
 
-    def _find_old(self, order: rollout.Order) -> base.SoftwareVersion:
-        """Return the version that gets the calls, before any rollout."""
+    def _find_old_version(self, order: rollout.Order) -> base.SoftwareVersion:
+        """Return the version that gets the calls before any rollout."""
         versions = [
             row.version
             for row in self.fleet.members.values()
@@ -154,58 +164,63 @@
         others = [item for item in versions if item != order.version]
         return rollout.find_majority(others or versions)
 
-    async def _go_on(
+    async def _advance_stage(
         self,
         order: rollout.Order | None,
         entry: _rollout_log.RolloutEntry,
     ) -> None:
-        """Write the next stage, if it is due."""
+        """Gather evidence, and write the next stage if it is due."""
         row = entry.rollout
-        new, old = self._choose_asked(row)
-        new_found = await self._ask(new, row.order_revision)
-        old_found = await self._ask(old, row.order_revision)
+        new, old = self._choose_queried(row)
+        new_evidence = await self._query_evidence(new, row.order_revision)
+        old_evidence = await self._query_evidence(old, row.order_revision)
         observation = rollout.Observation(
             order,
             self.source.store_now_ms,
-            [item for item in new_found if item.version == row.new],
-            old_found,
-            len(old_found) == len(old),
+            [item for item in new_evidence if item.version == row.new],
+            old_evidence,
+            len(old_evidence) == len(old),
         )
         stage = rollout.plan_next(row, observation)
-        self._log_look(row, observation, stage)
+        self._log_evaluation(row, observation, stage)
         if stage is not row.stage:
             row = msgspec.structs.replace(
                 row, stage=stage, stage_ms=observation.now_ms
             )
             await self._write(row, entry.revision)
 
-    def _choose_asked(
+    def _choose_queried(
         self, row: rollout.Rollout
     ) -> tuple[list[_messages.MemberRow], list[_messages.MemberRow]]:
-        """Choose the targets that are asked what they have shown."""
+        """Choose the targets of each version whose evidence is queried."""
         ready = self.fleet.list_ready(row.target_set)
         ranked = sorted(ready, key=lambda item: rollout.rank_host(item.host))
         new = [item for item in ranked if item.version == row.new]
         old = [item for item in ranked if item.version == row.old]
-        is_ending = row.stage is _Stage.SETTLING
-        return new[:ASKED_LIMIT], old[
-            : ALL_LIMIT if is_ending else ASKED_LIMIT
+        is_settling = row.stage is _Stage.SETTLING
+        return new[:QUERIED_LIMIT], old[
+            : QUERIED_SETTLING_LIMIT if is_settling else QUERIED_LIMIT
         ]
 
-    async def _ask(
+    async def _query_evidence(
         self, rows: list[_messages.MemberRow], order_revision: int
     ) -> list[rollout.Evidence]:
-        """Ask the daemons beside some targets; leave out the silent ones."""
+        """Query the evidence of targets; skip those that do not answer."""
         data = _evidence_hop.encode_question(order_revision)
         answers = await asyncio.gather(
-            *(self.peers.find(row).ask(data, 'no evidence') for row in rows)
+            *(
+                self.peers.find(row).ask(
+                    data, 'no answer to an evidence request'
+                )
+                for row in rows
+            )
         )
-        found = []
+        evidence = []
         for row, answer in zip(rows, answers, strict=True):
             if answer is None:
                 continue
             try:
-                found.append(_evidence_hop.decode_evidence(answer))
+                evidence.append(_evidence_hop.decode_evidence(answer))
             except exceptions.PeerError as error:
                 LOG.warning(
                     'evidence refused',
@@ -215,9 +230,9 @@
                         'detail': error.detail,
                     },
                 )
-        return found
+        return evidence
 
-    def _log_look(
+    def _log_evaluation(
         self,
         row: rollout.Rollout,
         observation: rollout.Observation,
@@ -228,7 +243,7 @@
         old_runs = sum(item.runs for item in observation.old)
         old_failures = sum(item.failures for item in observation.old)
         LOG.info(
-            'rollout look',
+            'rollout evaluated',
             extra={
                 'target_set': row.target_set,
                 'outcome': stage.value,
--- a/sedgering/mesh/_rollout_log.py
+++ b/sedgering/mesh/_rollout_log.py
@@ -1,4 +1,4 @@
-"""Orders of the operator and rollouts, mergeable from several sources."""
+"""Orders of the operator and rollouts, merged from several sources."""
 
 from collections.abc import Iterable
 import logging
@@ -12,7 +12,7 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Version of an order that the operator has withdrawn.
+#: Version in an order that the operator has withdrawn.
 WITHDRAWN = base.SoftwareVersion('')
 ORDER_KEY = 'order/'
 ROLLOUT_KEY = 'rollout/'
@@ -24,9 +24,9 @@
     Parameters
     ----------
     revision : int
-        Counter of the store at which it was written.
+        Revision of the store at which the row was written.
     rollout : Rollout
-        The row.
+        Content of the row.
     """
 
     revision: int
@@ -34,14 +34,14 @@
 
 
 class RolloutNews(msgspec.Struct, frozen=True, array_like=True):
-    """Orders and rollouts that one daemon knows.
+    """Orders and rollouts that one daemon sends to another.
 
     Parameters
     ----------
     orders : tuple of Order
-        Those that were withdrawn without a version.
+        Orders; one that was withdrawn has an empty version.
     entries : tuple of RolloutEntry
-        One for each set at most.
+        Rollouts, at most one for each target set.
     """
 
     orders: tuple[rollout.Order, ...] = ()
@@ -49,12 +49,13 @@
 
 
 class RolloutLog:
-    """Orders and rollouts by set; of each the newest counts.
+    """Newest order and rollout of each target set.
 
     Attributes
     ----------
     is_known : bool
-        Whether a source has told all of them, or that there are none.
+        Whether a source has reported all orders and rollouts, or that there
+        are none.
     """
 
     def __init__(self):
@@ -63,7 +64,7 @@
         self._entries: dict[base.TargetSetName, RolloutEntry] = {}
 
     def merge(self, news: RolloutNews) -> bool:
-        """Take in what a source tells; say whether anything was new."""
+        """Merge an update; return whether anything in it was new."""
         is_changed = False
         for order in news.orders:
             known = self._orders.get(order.target_set)
@@ -102,14 +103,14 @@
     def find_order(
         self, target_set: base.TargetSetName
     ) -> rollout.Order | None:
-        """Return the order of a set that is in force."""
+        """Return the order of a set, unless it was withdrawn."""
         order = self._orders.get(target_set)
         return order if order is not None and order.version else None
 
     def find_new_order(
         self, target_set: base.TargetSetName
     ) -> rollout.Order | None:
-        """Return the order of a set in force that no row follows yet."""
+        """Return the order of a set that no row is based on yet."""
         order = self.find_order(target_set)
         entry = self._entries.get(target_set)
         if order is None or entry is None:
@@ -118,11 +119,11 @@
         return order if is_newer else None
 
     def is_order_known(self, target_set: base.TargetSetName) -> bool:
-        """Whether the order that the row of a set follows has come here.
+        """Whether the order that the row of a set is based on has arrived.
 
-        Rows may come first.  Without this, a daemon that had the row of a
-        second rollout 0.6 s before its order took it as withdrawn, and undid
-        a good version.
+        A row may arrive before its order.  Without this check, a daemon that
+        had the row of a second rollout 0.6 s before its order took the order
+        as withdrawn, and rolled a good version back.
         """
         order = self._orders.get(target_set)
         entry = self._entries.get(target_set)
@@ -133,11 +134,11 @@
     def find_entry(
         self, target_set: base.TargetSetName
     ) -> RolloutEntry | None:
-        """Return the row of a set."""
+        """Return the newest row of a set."""
         return self._entries.get(target_set)
 
     def list_open(self) -> list[base.TargetSetName]:
-        """Return the sets whose rollout has yet to come to its end."""
+        """Return the sets whose rollout has not ended yet."""
         return [
             name
             for name in sorted(self._orders.keys() | self._entries.keys())
@@ -151,7 +152,7 @@
         return entry is not None and not entry.rollout.stage.is_final
 
     def list_trials(self) -> list[tuple[base.TargetSetName, int]]:
-        """Return the sets with a version on trial, and their orders."""
+        """Return the sets with a version on trial and the order revisions."""
         return [
             (name, entry.rollout.order_revision)
             for name, entry in self._entries.items()
@@ -163,14 +164,14 @@
         target_set: base.TargetSetName,
         versions: Iterable[base.SoftwareVersion],
     ) -> rollout.Permits:
-        """Say which versions of a set may get calls.
+        """Decide which versions of a set may get calls.
 
         Parameters
         ----------
         target_set : str
-            The set.
+            Target set.
         versions : iterable of str
-            Of its targets.
+            Versions of its targets.
         """
         entry = self._entries.get(target_set)
         return rollout.make_permits(
@@ -180,7 +181,7 @@
         )
 
     def list_known(self) -> dict[str, int] | None:
-        """Return the revisions that are known; None before any source told."""
+        """Return the known revisions by key; None before the first update."""
         if not self.is_known:
             return None
         known = {
@@ -192,7 +193,7 @@
         return known
 
     def find_news(self, known: dict[str, int] | None) -> RolloutNews | None:
-        """Return what somebody needs who knows some revisions."""
+        """Return an update for a daemon that knows some revisions."""
         if not self.is_known:
             return None
         if known is None:
@@ -212,5 +213,5 @@
         return RolloutNews(orders, entries) if orders or entries else None
 
     def list_orders(self) -> tuple[rollout.Order, ...]:
-        """Return all orders, also those that were withdrawn."""
+        """Return all orders, including withdrawn ones."""
         return tuple(self._orders.values())
--- a/sedgering/mesh/_rollout_store.py
+++ b/sedgering/mesh/_rollout_store.py
@@ -1,4 +1,4 @@
-"""Rows of rollouts in the store: watched while an order is followed."""
+"""Rollout rows in the store, watched while a rollout runs."""
 
 import abc
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 
 
 class RolloutStore(abc.ABC):
-    """Rows of rollouts, and what the operator is told of them.
+    """Writes rollout rows and their status for the operator.
 
     Attributes
     ----------
     table : WatchedTable
-        One row for each set, by its name.
+        One row for each target set, keyed by its name.
     """
 
     table: storage.WatchedTable
@@ -33,47 +33,50 @@
     async def write(
         self, row: rollout.Rollout, revision: int
     ) -> storage.Outcome:
-        """Write a row, and tell the operator, both or neither.
+        """Write a row and its status for the operator, both or neither.
 
         Parameters
         ----------
         row : Rollout
-            To write.
+            Row to write.
         revision : int
-            Of the row that it takes the place of; 0 for none.  Whoever comes
-            first writes: there is one verdict.
+            Revision of the row that it replaces; 0 for none.  If the stored
+            row has another one, nothing is written, so that there is a single
+            verdict.
         """
 
 
 def decode_rollout(row: storage.Row) -> rollout.Rollout:
-    """Decode the row of a rollout.
+    """Decode a rollout row.
 
     Raises
     ------
     RolloutError
-        When another writer has spoilt it.
+        If the row is malformed or names another target set.
     """
     code = exceptions.Code.ROLLOUT_UNREADABLE
     try:
-        found = msgspec.json.decode(row.value, type=rollout.Rollout)
+        decoded = msgspec.json.decode(row.value, type=rollout.Rollout)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise exceptions.RolloutError(code, str(error)) from error
-    if found.target_set != row.key:
-        raise exceptions.RolloutError(code, f'names {found.target_set!r}')
-    return found
+    if decoded.target_set != row.key:
+        raise exceptions.RolloutError(
+            code, f'row names target set {decoded.target_set!r}'
+        )
+    return decoded
 
 
 class RolloutWatcher(_watch.TableWatcher):
-    """Follows the rows of rollouts.
+    """Watches the rollout rows.
 
     Parameters
     ----------
     table : WatchedTable
-        One row for each set.
+        One row for each target set.
     post : callable
-        Told the rows that changed.
+        Called with the rows that changed.
     store_return : StoreReturn
-        Of the daemon.
+        State of the daemon's connection to the store.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
     ):
         super().__init__('watch-rollouts', table, store_return)
         self.post = post
-        #: Whoever is told late of a stage holds all others up.
+        #: No batching: a daemon that learns of a stage late delays all others.
         self.gather_s = 0.0
         self._refusals = observability.RefusalLog(LOG, logging.ERROR)
 
@@ -95,7 +98,7 @@
         return page.revision
 
     def take_changes(self, page: storage.RowsPage) -> None:
-        """Take in rows that were written."""
+        """Process rows that were written."""
         entries = map(self._decode, page.rows)
         self.post([entry for entry in entries if entry is not None])
 
@@ -103,10 +106,13 @@
         if row.is_removed:
             return None
         try:
-            found = decode_rollout(row)
+            decoded = decode_rollout(row)
         except exceptions.RolloutError as error:
             self._refusals.note(
-                row.revision, 'rollout refused', error, version=row.revision
+                row.revision,
+                'rollout refused',
+                error,
+                version=row.revision,
             )
             return None
-        return _rollout_log.RolloutEntry(row.revision, found)
+        return _rollout_log.RolloutEntry(row.revision, decoded)
--- a/sedgering/mesh/_versions.py
+++ b/sedgering/mesh/_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the operator, and the differences between the last ones."""
+"""Newest version of the configuration, and deltas from the previous ones."""
 
 import collections
 import functools
@@ -14,27 +14,27 @@
 
 __all__ = ['VersionLog', 'VersionNews', 'decode_news']
 
-#: Differences kept; whoever lags behind more of them gets a whole version.
-#: A storm of versions brings one each 60 ms, and daemons ask at least once
+#: Deltas that are kept; a daemon that is further behind gets a full bundle.
+#: In a burst, a new version arrives every 60 ms, and daemons ask at least once
 #: a second.
-STEPS_LIMIT = 24
-#: Largest whole version accepted after decompression, in bytes.
+DELTAS_LIMIT = 24
+#: Largest full bundle accepted after decompression, in bytes.
 BUNDLE_LIMIT_BYTES = 32 * 1024 * 1024
 
 
 class VersionNews(msgspec.Struct, frozen=True, array_like=True):
-    """A version, whole or as differences from an earlier one.
+    """A version, as a full bundle or as deltas from an earlier one.
 
     Parameters
     ----------
     version : int
-        The version.
+        Version of the result.
     base_version : int
-        To which the first difference applies; 0 when it is whole.
+        Version that the first delta applies to; 0 for a full bundle.
     steps : tuple of bytes
-        Encoded differences in order, or one whole encoded bundle.
+        Encoded deltas in order, or one compressed full bundle.
     digest : bytes
-        Digest (32 bytes) of the whole bundle.
+        Digest (32 bytes) of the resulting bundle.
     limits, health_paths
         As in :class:`AcceptedConfig`.
     """
@@ -47,117 +47,119 @@
     health_paths: dict[str, str]
 
 
-class _Step(msgspec.Struct, frozen=True):
+class _VersionDelta(msgspec.Struct, frozen=True):
     base_version: base.Version
     delta: bytes
 
 
 class VersionLog:
-    """The newest version, and how to get there from the last ones."""
+    """Newest version, and the deltas that lead to it."""
 
     def __init__(self):
-        #: Counter of the store up to which no newer version was written.
+        #: Revision of the store up to which no newer version was written.
         self.revision = 0
         self.newest: _config.AcceptedConfig | None = None
-        #: Differences that lead to the newest version, without a gap.
-        self._steps: collections.deque[_Step] = collections.deque(
-            maxlen=STEPS_LIMIT
+        #: Consecutive deltas that end at the newest version.
+        self._deltas: collections.deque[_VersionDelta] = collections.deque(
+            maxlen=DELTAS_LIMIT
         )
         self._digest = base.Digest(b'')
-        self._whole = b''
+        self._full_bundle = b''
 
     @property
     def version(self) -> base.Version:
-        """The newest version known."""
+        """Newest known version."""
         return self.newest.version if self.newest else base.NO_VERSION
 
     def take(self, config: _config.AcceptedConfig, keeps_step: bool) -> bool:
-        """Take in a version.
+        """Add a version, unless it is outdated.
 
         Parameters
         ----------
         config : AcceptedConfig
-            As the operator wrote it.
+            Version as the operator wrote it.
         keeps_step : bool
-            Whether others ask for differences; most daemons are never
-            asked, and keep none.
+            Whether to keep the delta for other daemons; most daemons are
+            never asked for one and keep none.
 
         Returns
         -------
         bool
-            Whether it is newer.
+            Whether the version is newer than the newest known one.
         """
         if config.version <= self.version:
             return False
         old, old_digest = self.newest, self._digest
         self.newest = config
         self._digest = base.Digest(b'')
-        self._whole = b''
+        self._full_bundle = b''
         if old is None or not keeps_step:
-            self._steps.clear()
+            self._deltas.clear()
             return True
         delta = bundles.make_delta(
             old.bundle,
-            old_digest or _find_digest(old.bundle),
+            old_digest or _compute_digest(old.bundle),
             config.bundle,
-            self._find_own_digest(),
+            self._find_newest_digest(),
+        )
+        self._deltas.append(
+            _VersionDelta(old.version, bundles.encode_delta(delta))
         )
-        self._steps.append(_Step(old.version, bundles.encode_delta(delta)))
         return True
 
     def find_news(self, version: base.Version) -> VersionNews | None:
-        """Return what somebody needs who holds a version."""
+        """Return the update for a daemon that holds a version, if any."""
         newest = self.newest
         if newest is None or version >= newest.version:
             return None
-        bases = [step.base_version for step in self._steps]
+        bases = [step.base_version for step in self._deltas]
         if version in bases:
             first = bases.index(version)
-            steps = tuple(step.delta for step in self._steps)[first:]
+            steps = tuple(step.delta for step in self._deltas)[first:]
         else:
             version = base.NO_VERSION
-            steps = (self._make_whole(),)
+            steps = (self._encode_full_bundle(),)
         return VersionNews(
             newest.version,
             version,
             steps,
-            self._find_own_digest(),
+            self._find_newest_digest(),
             newest.limits,
             newest.health_paths,
         )
 
-    def _make_whole(self) -> bytes:
-        if not self._whole:
+    def _encode_full_bundle(self) -> bytes:
+        if not self._full_bundle:
             encoded = bundles.encode_bundle(self.newest.bundle)
-            self._whole = zlib.compress(encoded)
-        return self._whole
+            self._full_bundle = zlib.compress(encoded)
+        return self._full_bundle
 
-    def _find_own_digest(self) -> base.Digest:
+    def _find_newest_digest(self) -> base.Digest:
         if not self._digest:
-            self._digest = _find_digest(self.newest.bundle)
+            self._digest = _compute_digest(self.newest.bundle)
         return self._digest
 
 
-def _find_digest(bundle: bundles.Bundle) -> base.Digest:
+def _compute_digest(bundle: bundles.Bundle) -> base.Digest:
     return bundles.compute_digest(bundles.encode_bundle(bundle))
 
 
 def decode_news(
     news: VersionNews, held: _config.AcceptedConfig | None
 ) -> _config.AcceptedConfig:
-    """Make the version of news.
+    """Decode an update into the version that it contains.
 
     Parameters
     ----------
     news : VersionNews
-        From another daemon.
+        Update from another daemon.
     held : AcceptedConfig or None
-        The version from which differences start.
+        Version that this daemon holds, to which deltas are applied.
 
     Raises
     ------
     BundleError
-        When it is damaged, or starts from a version that is not held.
+        If the update is damaged, or its base version is not held.
     """
     if not news.base_version:
         encoded = bundles.decompress(news.steps[0], BUNDLE_LIMIT_BYTES)
@@ -167,17 +169,17 @@
             exceptions.Code.BUNDLE_BASE, f'version {news.base_version}'
         )
     else:
-        bundle = _apply_steps(news, held.bundle)
+        bundle = _apply_deltas(news, held.bundle)
     return _config.AcceptedConfig(
         news.version, bundle, news.limits, news.health_paths
     )
 
 
-def _apply_steps(news: VersionNews, bundle: bundles.Bundle) -> bundles.Bundle:
-    """Apply differences, joined into one; its result has the digest stated.
+def _apply_deltas(news: VersionNews, bundle: bundles.Bundle) -> bundles.Bundle:
+    """Compose the deltas into one, check its digest and apply it.
 
-    Encoding 1,200 routes and hashing them takes longer than joining: a daemon
-    that is three versions behind catches up in the time of one.
+    Composing deltas is faster than encoding and hashing 1,200 routes, so a
+    daemon that is three versions behind catches up in the time of one version.
     """
     joined = functools.reduce(
         bundles.compose_deltas, map(bundles.decode_delta, news.steps)
