--- a/features/access.feature
+++ b/features/access.feature
@@ -1,12 +1,12 @@
-Feature: Only holders of a key call for a workspace
-  A bundle that has workspaces says which routes need a key.  Who asks is
-  found out at the daemon of the caller; the key goes no further.
+Feature: Only holders of a key can send requests for a workspace
+  A bundle with workspaces says which routes need a key.  The daemon that
+  receives a request authenticates it; the key is not passed on.
 
   Scenario: Without workspaces a bundle is encoded as by earlier releases
     Then bundles without workspaces have the bytes that they had
 
-  Scenario: A difference without workspaces is read by earlier releases
-    Then the fields of earlier differences stand before those on workspaces
+  Scenario: A delta without workspaces is decoded by earlier releases
+    Then the fields of earlier deltas come before those on workspaces
 
   Scenario: A document is decoded with its workspaces
     Given an operator's document with two workspaces and a public route
@@ -14,7 +14,7 @@
     And the routes that are not public need a key
     And a version that changes one workspace keeps the others as they are
 
-  Scenario Outline: Workspaces that break a rule are refused whole
+  Scenario Outline: A bundle with an invalid workspace is refused
     Then workspaces with <fault> are refused with <code>
 
     Examples:
@@ -31,9 +31,9 @@
       | a keyed route twice       | 1102 |
 
   Scenario: A workspace without keys is allowed
-    Then a workspace without keys is valid, and nobody asks for it
+    Then a workspace without keys is valid, and no key maps to it
 
-  Scenario Outline: What the settings file says of taking keys away
+  Scenario Outline: Settings for the revocation of keys
     Then a settings file with the bounds "<bounds>" is <strict> with <revoke> ms
 
     Examples:
@@ -42,7 +42,7 @@
       | revoke_strict=false revoke=5s   | not strict | 5000   |
       | revoke_strict=true revoke=500ms | strict     | 500    |
 
-  Scenario Outline: Who asks
+  Scenario Outline: How a request is authenticated
     Given a daemon that is <state>
     When a request with <fields> takes the <route> route
     Then it is <outcome>
@@ -61,34 +61,34 @@
       | current      | two keys         | keyed  | refused 5016   |
       | current      | two keys, joined | keyed  | refused 5016   |
       | current      | the key of a     | public | of workspace a |
-      | current      | no key           | public | nobody's       |
-      | current      | an unknown key   | public | nobody's       |
-      | current      | two keys         | public | nobody's       |
+      | current      | no key           | public | anonymous      |
+      | current      | an unknown key   | public | anonymous      |
+      | current      | two keys         | public | anonymous      |
       | behind       | the key of a     | keyed  | of workspace a |
       | behind       | no key           | keyed  | refused 5016   |
       | behind       | an unknown key   | keyed  | refused 5017   |
-      | behind       | an unknown key   | public | nobody's       |
+      | behind       | an unknown key   | public | anonymous      |
       | strict       | the key of a     | keyed  | of workspace a |
       | strict, late | the key of a     | keyed  | refused 5017   |
       | strict, late | an unknown key   | keyed  | refused 5017   |
-      | strict, late | the key of a     | public | nobody's       |
+      | strict, late | the key of a     | public | anonymous      |
 
-  Scenario: Whatever callers write, one key at most is read
-    Then any fields are read as one whole key of one field, or as none
-    And any claims are taken off, and all other fields stay in their order
+  Scenario: At most one key is read from any fields
+    Then any fields give one whole key of one field, or none
+    And any identifying fields are removed, and all others stay in order
 
   Scenario: Counts by workspace are bounded
     Then of 1000 workspaces the 16 largest are counted by name
-    And what all are counted sums to all requests
+    And the counts sum to all requests
 
-  Scenario: A key is turned into what a bundle file holds
-    When the digest of a key is asked for on the command line
-    Then a bundle file with it says who holds the key
+  Scenario: The command line computes the digest that a bundle file holds
+    When the command line computes the digest of a key
+    Then a bundle file with it maps the key to its workspace
 
-  Scenario: Differences of workspaces can be read
-    Then what changes in workspaces and keyed routes is told in lines
+  Scenario: Changes of workspaces are described in lines
+    Then changes of workspaces and keyed routes are described in lines
 
-  Scenario: Two workspaces never ask the same request
+  Scenario: Requests of two workspaces never have the same fingerprint
     Then a request has the same fingerprint on both sides of a hop
     And a request of two workspaces has two fingerprints
     And without a workspace its fingerprint is the one that it had
--- a/features/centres.feature
+++ b/features/centres.feature
@@ -1,31 +1,31 @@
-Feature: Calls stay where leaving serves nobody
-  Where all data centres are short of room, whoever leaves takes the place of
-  a caller elsewhere.
+Feature: Calls stay in their data centre if all data centres are saturated
+  If no data centre has spare capacity, a call that leaves its own takes the
+  slot of a local call elsewhere.
 
-  Scenario Outline: A data centre is short once its gates tell so
-    Given 8 gates near that tell a demand of <told> %
-    When <age> ms have gone by
-    Then the data centre is <state> of room
+  Scenario Outline: A data centre is saturated once its gates report so
+    Given 8 gates near that report a demand of <reported> %
+    When <age> ms have passed
+    Then the data centre is <state>
 
     Examples:
-      | told | age  | state     |
-      | 90   | 0    | not short |
-      | 180  | 0    | short     |
-      | 180  | 2000 | not short |
+      | reported | age  | state         |
+      | 90       | 0    | not saturated |
+      | 180      | 0    | saturated     |
+      | 180      | 2000 | not saturated |
 
-  Scenario: Nothing is known of a data centre that told nothing
-    Given 8 gates near that tell a demand of 180 %
-    Then another data centre is not short of room
+  Scenario: A data centre without reports does not count as saturated
+    Given 8 gates near that report a demand of 180 %
+    Then another data centre is not saturated
 
-  Scenario: A set that is gone is forgotten
-    Given 8 gates near that tell a demand of 180 %
-    When the set goes
-    Then the data centre is not short of room
+  Scenario: A removed target set is forgotten
+    Given 8 gates near that report a demand of 180 %
+    When the set is removed
+    Then the data centre is not saturated
 
-  Scenario: With too little room everywhere few answers cross data centres
-    52 % of the bytes of answers crossed data centres, as each call went to
-    whoever happened to have a place, and as many callers were served in time
-    (65 % of the look-ups).
+  Scenario: With too little capacity everywhere few answers cross data centres
+    Without this rule each call went to any target with a free slot.  52 % of
+    the bytes of answers crossed data centres, and as many callers were served
+    in time (65 % of the look-ups).
     Given the load "short-everywhere" for 4 s
     When it is played with seed 1
     Then at least 60 % of "look-up" end within their goal
--- a/features/rollouts.feature
+++ b/features/rollouts.feature
@@ -1,7 +1,7 @@
-Feature: A new version of a target set is tried on few calls, and judged
+Feature: A new version of a target set is rolled out as a canary
   The operator orders that the calls of a set move to targets of another
-  version of its software.  Sent calls like all others, targets of a bad
-  version got six of sixteen, and took the set down with them.
+  version of its software.  Without a trial, targets of a bad version got six
+  of sixteen calls, and the whole set failed.
 
   Scenario Outline: Which versions get calls
     Given a rollout from v1 to v2 in the stage <stage>
@@ -16,7 +16,7 @@
       | succeeded   | v2    | none  | v2    | v1 v3  |
       | rolled back | v1    | none  | v1    | v2 v3  |
 
-  Scenario Outline: Not knowing is no licence
+  Scenario Outline: Without a rollout only the majority version gets calls
     Given targets of the versions <versions>, and <order>
     Then the gates of <open> are open, those of <closed> are not
 
@@ -28,18 +28,18 @@
       | empty empty | no order       | v1 empty | none   |
       | empty empty | an order of v2 | v1       | v2     |
 
-  Scenario: A version on trial gets no more than its share
+  Scenario: A version on trial gets no more than its share of the calls
     Then no order of calls and answers exposes more than a tenth of them
 
-  Scenario: A few targets are on trial, and all daemons choose the same
+  Scenario: All daemons choose the same few targets for the trial
     Then of 32 new targets beside 32 old ones 3 are on trial, in any order
     And of 5 new targets beside 5 old ones 1 is on trial, in any order
 
-  Scenario Outline: A good version is not undone
-    The rule is made for 1 wrong verdict in 4,000 against a good version.
+  Scenario Outline: A good version is not rolled back
+    The test is designed to reject one good version in 4,000.
     Given a new version whose calls are <kind>
-    When it is judged 200 times
-    Then it is found good each time
+    When its verdict is computed 200 times
+    Then each verdict is good
 
     Examples:
       | kind                        |
@@ -47,11 +47,11 @@
       | failing like the old ones   |
       | bad at one of three targets |
 
-  # Seen: good versions of sets with nine targets were undone, with none of 114
-  # calls failed.  The target on trial had changed once, and the one that had run
-  # most calls, three of them slow, was left out as the worst of two: what
-  # remained was too little for a verdict.
-  Scenario Outline: The worst target is left out where it speaks against others
+  # Guards against good versions being rolled back without a failed call, seen
+  # in sets of nine targets with 114 calls.  The target on trial had changed
+  # once.  The first one had run most calls, three of them slow, and was left out
+  # as the worst of two; the remaining calls did not suffice for a verdict.
+  Scenario Outline: The worst target is left out only to avoid a bad verdict
     Given old targets of which each ran 60 calls well
     And new targets that ran <runs> calls, of which <bad> were bad
     Then the new version is <verdict>
@@ -65,12 +65,12 @@
       | 94       | 3      | good    |
       | 10 10    | 0 0    | open    |
 
-  Scenario Outline: A bad version is undone before it has harmed many
-    Fifty bad calls are what an operator lets it do before the time to undo
-    it counts.
+  Scenario Outline: A bad version is rolled back before many calls have failed
+    The operator accepts fifty bad calls; beyond that, the time until the
+    rollback counts.
     Given a new version whose calls are <kind>
-    When it is judged 200 times
-    Then it is found bad each time
+    When its verdict is computed 200 times
+    Then each verdict is bad
     And that takes 50 bad calls in the median at most
 
     Examples:
@@ -80,20 +80,21 @@
       | eight times slower by half |
       | failing on one route       |
 
-  Scenario: A version that turns bad later is undone, too
+  Scenario: A version that turns bad later is rolled back, too
     Given a new version whose calls are failing after a while
-    When it is judged 200 times
-    Then it is found bad each time
-
-  Scenario: News of orders and rollouts come in any order
-    Then whatever order news come in, the newest of each set holds
-
-  Scenario Outline: A row that comes before its order is not undone
-    Seen: a good version was undone 0.7 s after its order.  Rows of rollouts are
-    watched without a pause while one runs, orders with one; the daemon that
-    had the row of the second alone took its order as withdrawn.
-    Given a daemon that knows the row of a rollout that follows order 7
-    When it has been told of <order>
+    When its verdict is computed 200 times
+    Then each verdict is bad
+
+  Scenario: Updates of orders and rollouts arrive in any order
+    Then the newest of each set is kept, whatever the order of updates
+
+  Scenario Outline: A row that arrives before its order is not rolled back
+    Guards against the rollback of a good version, seen 0.7 s after its order.
+    Rows are watched without a pause during a rollout, orders with one, so that
+    a daemon may have the row of a second rollout alone.  It must not take the
+    missing order as withdrawn.
+    Given a daemon that has the row of a rollout based on order 7
+    When it receives <order>
     Then it <verb> what to do with the rollout, of which the order <stands>
 
     Examples:
@@ -103,20 +104,20 @@
       | order 7                | knows         | stands        |
       | the withdrawal after 7 | knows         | is withdrawn  |
 
-  Scenario: Stages are timed by the clock of the store alone
-    Seen: a good version was undone 0.5 s after its order.  A daemon that had the
-    order from a relay, and no answer of the store yet, wrote its own clock as
-    the start of the rollout.
+  Scenario: Stages are timed only by the clock of the store
+    Guards against the rollback of a good version, seen 0.5 s after its order.
+    A daemon that had the order from a relay, and no answer of the store yet,
+    had written the time of its own clock as the start of the rollout.
     Given a fleet with 4 calendar targets of the version v1
     Then each daemon that watches the store knows its clock
-    And one that does not know it writes no row of a rollout
+    And a daemon that does not know it writes no rollout row
 
-  Scenario Outline: When a rollout goes on
+  Scenario Outline: When a rollout advances to its next stage
     Given a rollout of 10 s in the stage <stage> since <age> ms
     When its new version <shows> at <now> ms
     Then its next stage is <next>
 
-    Examples: a verdict needs time, and is not put off for ever
+    Examples: a trial has a shortest and a longest duration
       | stage    | age  | shows              | now  | next        |
       | trial    | 0    | is good            | 2000 | trial       |
       | trial    | 0    | is good            | 5000 | moving      |
@@ -126,7 +127,7 @@
       | trial    | 0    | is stopped         | 500  | rolled back |
       | trial    | 0    | is withdrawn       | 500  | rolled back |
 
-    Examples: senders first, then gates, then the end
+    Examples: senders move first, then gates close, then the rollout ends
       | stage    | age  | shows              | now  | next        |
       | moving   | 5000 | is good            | 6000 | moving      |
       | moving   | 5000 | is good            | 6800 | settling    |
@@ -137,12 +138,12 @@
       | settling | 6800 | leaves work behind | 9200 | succeeded   |
       | settling | 6800 | is silent          | 8000 | settling    |
 
-    Examples: a verdict that is told stands
+    Examples: a final verdict stands
       | stage       | age  | shows        | now  | next        |
       | succeeded   | 8000 | is bad       | 9000 | succeeded   |
       | rolled back | 8000 | is good      | 9000 | rolled back |
 
-  Scenario Outline: Orders that cannot be read change nothing
+  Scenario Outline: Malformed orders change nothing
     When the operator's order is <order>
     Then the order is refused as unreadable
 
@@ -155,42 +156,42 @@
       | {"service": "calendar", "to": 2, "duration": "8s"}      |
       | [                                                       |
 
-  Scenario: A good version takes over, and no call is lost or cut
+  Scenario: A good version takes over, and no call is lost or interrupted
     Given a fleet with 4 calendar targets of the version v1
-    When 4 targets of the version v2 come, and are ordered within 7000 ms
-    And callers ask all the while until the operator reads succeeded
-    Then all calls were answered well
-    And no call is under way at the version v1, and none comes any more
+    When 4 targets of the version v2 join, and are ordered within 7000 ms
+    And callers send calls until the operator reads succeeded
+    Then all calls were answered with 200
+    And no call is in progress at the version v1, and none arrives any more
     And before the move the version v2 got a tenth of the calls at most
 
-  Scenario: A version that fails is undone at once
+  Scenario: A version that fails is rolled back at once
     Given a fleet with 4 calendar targets of the version v1
-    When 4 targets of the version v2 come, and are ordered within 7000 ms
+    When 4 targets of the version v2 join, and are ordered within 7000 ms
     And all of these fail their calls
-    And callers ask all the while until the operator reads rolled_back
+    And callers send calls until the operator reads rolled_back
     Then the version v2 failed 20 calls at most
-    And no call comes to the version v2 any more
+    And no call arrives at the version v2 any more
 
-  Scenario: A version that fails while the store is away stops by itself
+  Scenario: A failing version is stopped while the store is unavailable
     Given a fleet with 4 calendar targets of the version v1
-    When 4 targets of the version v2 come, and are ordered within 30000 ms
+    When 4 targets of the version v2 join, and are ordered within 30000 ms
     And all of these fail their calls
-    And the store is away once the version is on trial
-    And callers ask for 3 s
+    And the store is unavailable once the version is on trial
+    And callers send calls for 3 s
     Then the version v2 failed 20 calls at most
 
-  Scenario: A version that nobody ordered gets no call
+  Scenario: A version without an order gets no calls
     Given a fleet with 4 calendar targets of the version v1
-    When 2 targets of the version v2 come
-    And callers ask for 1 s
-    Then no call comes to the version v2 any more
-    And all calls were answered well
+    When 2 targets of the version v2 join
+    And callers send calls for 1 s
+    Then no call arrives at the version v2 any more
+    And all calls were answered with 200
 
-  Scenario: The verdict outlives every daemon
+  Scenario: The verdict survives the restart of all daemons
     Given a fleet with 4 calendar targets of the version v1
-    When 4 targets of the version v2 come, and are ordered within 7000 ms
+    When 4 targets of the version v2 join, and are ordered within 7000 ms
     And all of these fail their calls
-    And callers ask all the while until the operator reads rolled_back
-    And all daemons are started again
-    And callers ask for 1 s
-    Then no call comes to the version v2 any more
+    And callers send calls until the operator reads rolled_back
+    And all daemons are restarted
+    And callers send calls for 1 s
+    Then no call arrives at the version v2 any more
--- a/features/steps/access_daemon_steps.py
+++ b/features/steps/access_daemon_steps.py
@@ -1,4 +1,4 @@
-"""Steps over daemons that ask for keys."""
+"""Steps for daemons that require keys."""
 
 import asyncio
 import io
@@ -66,7 +66,7 @@
 
 
 class KeyedMesh(MeshSubject):
-    """A mesh with workspaces, and all that its daemons log."""
+    """A mesh with workspaces, and the log lines of its daemons."""
 
     def __init__(self):
         super().__init__()
@@ -84,7 +84,7 @@
         self.logger.setLevel(logging.DEBUG)
 
     def stop(self) -> None:
-        """Stop the mesh and leave the logs alone."""
+        """Stop the mesh and restore the logging settings."""
         self.logger.removeHandler(self.handler)
         self.logger.setLevel(self.level)
         logging.disable(logging.CRITICAL)
@@ -99,13 +99,13 @@
         self.wait_version(self.version)
 
     def ask_as(self, name: str, path: str, request_id: str, body=None):
-        """Ask the first host with a key."""
+        """Send a request with a key to the first host."""
         return self.ask(
             path, request_id, body, Authorization=f'Token {KEYS[name]}'
         )
 
     def list_seen(self, name: str) -> list[str]:
-        """Return the values of a field in all that ran at targets."""
+        """Return the values of a field in all requests run by targets."""
         return [
             value
             for books in self.list_books()
@@ -138,14 +138,14 @@
     keyed.fleet.wait_ready()
 
 
-@given('the operator takes all workspaces away')
-def step_take_away(context):
+@given('the operator removes all workspaces')
+def step_remove_workspaces(context):
     context.keyed.workspaces = {}
     context.keyed.write()
 
 
-@given('no daemon hears the store')
-def step_store_gone(context):
+@given('no daemon reaches the store')
+def step_store_unreachable(context):
     keyed = context.keyed
     keyed.fleet.engine.faults.mode = testing.StoreMode.BUSY
     keyed.fleet.wait_for(
@@ -186,7 +186,7 @@
     keyed.raw = keyed.fleet.run(send())
 
 
-@when('a caller asks "{path}" before and after its key is taken away')
+@when('a caller asks "{path}" before and after its key is revoked')
 def step_revoke(context, path):
     keyed = context.keyed
     head = f'GET {path} HTTP/1.1\r\n{HOST}{ID}{BLUE}\r\n'.encode()
@@ -213,8 +213,8 @@
     keyed.statuses.append(keyed.fleet.run(ask(*streams)))
 
 
-@when('a caller sends ahead requests of blue, nobody and green')
-def step_ahead(context):
+@when('a caller pipelines requests of blue, nobody and green')
+def step_pipeline(context):
     keyed = context.keyed
     data = ''.join(
         f'GET /r0/{name} HTTP/1.1\r\n{HOST}X-Request-Id: {name}\r\n'
@@ -273,7 +273,7 @@
 
 
 def ask_all(keyed, name):
-    """Ask each host with a key; return the statuses."""
+    """Send a request with a key to each host; return the statuses."""
     return [
         keyed.fleet.call(
             host.addresses.callers_port,
@@ -294,13 +294,13 @@
     context.given_key = name
 
 
-@when('that key is taken away again')
-def step_take_back(context):
+@when('that key is revoked again')
+def step_revoke_again(context):
     context.keyed.workspaces['green']['api_keys'] = [KEYS['green']]
     context.keyed.write()
 
 
-@then('every daemon serves it, and answers 401 to a key of nobody')
+@then('every daemon serves it, and answers 401 to an unknown key')
 def step_all_serve(context):
     keyed = context.keyed
     assert set(ask_all(keyed, context.given_key)) == {200}
@@ -360,7 +360,7 @@
 
 
 def ask_proxy(subject, fields: str) -> bytes:
-    """Ask a proxy of threads; return the head of its answer."""
+    """Send a request to a threaded proxy; return the head of its answer."""
     path = request_subject.PATHS['repeatable']
     head = (
         f'GET {path} HTTP/1.1\r\nHost: {request_subject.HOST}\r\n'
@@ -372,8 +372,8 @@
             return stream.read().partition(b'\r\n\r\n')[0]
 
 
-@when('the first daemon starts anew and is asked with known and other keys')
-def step_start_anew(context):
+@when('the first daemon restarts and gets known and unknown keys')
+def step_restart(context):
     keyed = context.keyed
     keyed.fleet.restart(keyed.first)
     for name in ('blue', 'nobody'):
@@ -418,7 +418,7 @@
     assert f'"code": {code}'.encode() in answer.body
 
 
-@then('the answer with a key is 503 and says when to come back')
+@then('the answer with a key is 503 with a Retry-After field')
 def step_unsure(context):
     step_status(context, 503)
     answer = context.keyed.answers[-1]
@@ -481,7 +481,7 @@
 
 
 @then('the answers are 200, 401 and 200, for "blue" and "green"')
-def step_ahead_answers(context):
+def step_pipelined_answers(context):
     keyed = context.keyed
     found = re.findall(rb'HTTP/1.1 (\d+)', keyed.raw)
     assert found == [b'200', b'401', b'200'], keyed.raw
@@ -490,7 +490,7 @@
         assert run[2]['X-Tenant'] == run[0], run
 
 
-@then('all of that stands in the logs')
+@then('the logs contain all of these events')
 def step_logged(context):
     lines = context.keyed.lines.getvalue()
     for message in (
@@ -504,7 +504,7 @@
         assert f'"message":"{message}"' in lines, message
 
 
-@then('neither logs, metrics, answers, the store nor rows hold a key')
+@then('no key is in the logs, metrics, answers, store or rows')
 def step_grep(context):
     keyed = context.keyed
     lines = keyed.lines.getvalue()
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -1,4 +1,4 @@
-"""Steps over keys of workspaces: bundles, documents, and who asks."""
+"""Steps for keys of workspaces: bundles, documents, authentication."""
 
 import hashlib
 import json
@@ -30,8 +30,8 @@
 from sedgering import transport
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-#: Made by the release before workspaces: a bundle with one object of each
-#: kind, and an empty one.
+#: Encoded by the last release without workspaces: a bundle with one object of
+#: each kind, and an empty one.
 EARLIER_BYTES = (
     '84a46d657368a16da8706f6c69636965739187a46e616d65a170aa74696d656f75745f'
     '6d73cd2710a8617474656d70747302b472657472795f6275646765745f70657263656e'
@@ -44,7 +44,7 @@
     '84a46d657368a16da8706f6c696369657390ab7461726765745f7365747390a6726f75'
     '74657390',
 )
-#: Of a request with an authorization field, made by the same release.
+#: Fingerprint of a request with an authorization field, by the same release.
 EARLIER_FINGERPRINT = '63d4228a-e82662ca765a1cae'
 SCHEME = 'Token'
 KEY_A = 'k3y-of-a'
@@ -121,7 +121,7 @@
 
 
 class AccessSubject:
-    """A snapshot with two workspaces, and what is decided on it."""
+    """A snapshot with two workspaces, and the identity of a request."""
 
     def __init__(self, state):
         bundle = make_open_bundle(WORKSPACE_A, WORKSPACE_B, keyed=('keyed',))
@@ -132,7 +132,7 @@
         self.identity = None
 
     def identify(self, route, values):
-        """Decide who asks."""
+        """Authenticate a request."""
         self.identity = access.identify(
             self.snapshot,
             route,
@@ -162,7 +162,7 @@
     assert made == list(EARLIER_BYTES), made
 
 
-@then('the fields of earlier differences stand before those on workspaces')
+@then('the fields of earlier deltas come before those on workspaces')
 def step_earlier_delta(context):
     old, new = bundles.make_bundle('m'), make_open_bundle()
     delta = bundles.make_delta(old, b'o' * 32, new, b'n' * 32)
@@ -176,7 +176,7 @@
         'routes',
     )
     assert sent[6:] == [[[], []], [[], []]], sent[6:]
-    # A difference of the earlier release, which ends before.
+    # A delta of the earlier release ends before the fields on workspaces.
     received = msgspec.convert(sent[:6], bundles.Delta)
     assert received == delta
 
@@ -246,7 +246,7 @@
         raise AssertionError('it was accepted')
 
 
-@then('a workspace without keys is valid, and nobody asks for it')
+@then('a workspace without keys is valid, and no key maps to it')
 def step_no_keys(context):
     bundle = make_open_bundle(bundles.Workspace('a'), keyed=('keyed',))
     snapshot = bundles.make_snapshot(1, b'', bundle)
@@ -283,8 +283,8 @@
     assert identity.priority == (1 if name == 'a' else 0)
 
 
-@then("it is nobody's")
-def step_nobody(context):
+@then('it is anonymous')
+def step_anonymous(context):
     assert context.access.identity == access.NOBODY
 
 
@@ -296,7 +296,7 @@
     assert len(identity.key_head) in (0, 8)
 
 
-@then('any fields are read as one whole key of one field, or as none')
+@then('any fields give one whole key of one field, or none')
 def step_any_fields(context):
     pieces = st.sampled_from(
         ['Token', 'token', 'Bearer', KEY_A, KEY_B, ' ', '  ', '\t', ',', 'é']
@@ -318,7 +318,7 @@
     check()
 
 
-@then('any claims are taken off, and all other fields stay in their order')
+@then('any identifying fields are removed, and all others stay in order')
 def step_any_claims(context):
     names = st.sampled_from(
         ['Authorization', 'aUTHORIZATION', 'X-Workspace', 'x-wORKSPACE', 'A']
@@ -339,7 +339,7 @@
 @then('of {count:d} workspaces the {limit:d} largest are counted by name')
 def step_bounded(context, count, limit):
     counts = access.WorkspaceCounts()
-    # Small ones come first, and large ones between them.
+    # Large workspaces are scattered among small ones.
     for number in range(count):
         for _ in range(1 + 50 * (number % 60 == 0)):
             counts.count(base.WorkspaceName(f'w{number}'), 'answered')
@@ -352,7 +352,7 @@
     assert len(names) == limit + 1, names
 
 
-@then('what all are counted sums to all requests')
+@then('the counts sum to all requests')
 def step_sum(context):
     by_kind = {}
     for _name, kind, value in context.counted:
@@ -360,7 +360,7 @@
     assert by_kind == {'answered': 1000 + 17 * 50, 'refused 5008': 1000}
 
 
-@when('the digest of a key is asked for on the command line')
+@when('the command line computes the digest of a key')
 def step_key_digest(context):
     done = subprocess.run(
         [sys.executable, '-m', 'sedgering.cli.operator', 'key-digest'],
@@ -373,7 +373,7 @@
     context.digest = done.stdout.strip()
 
 
-@then('a bundle file with it says who holds the key')
+@then('a bundle file with it maps the key to its workspace')
 def step_bundle_file(context):
     assert context.digest == digest(KEY_A)
     text = (ROOT / 'examples' / 'tuulai' / 'bundle.yaml').read_text()
@@ -397,7 +397,7 @@
     assert identity.workspace == 'blue', identity
 
 
-@then('what changes in workspaces and keyed routes is told in lines')
+@then('changes of workspaces and keyed routes are described in lines')
 def step_changes(context):
     old = make_open_bundle(WORKSPACE_A, WORKSPACE_B, keyed=('keyed',))
     raised = bundles.Workspace('a', (digest(KEY_A),), rate_per_s=9)
@@ -435,7 +435,7 @@
 
 
 def receive(call: mesh.TargetCall) -> mesh.TargetCall:
-    """Take a call in at another daemon."""
+    """Decode a call as another daemon receives it."""
     head = _hop.encode_call(call).decode('latin-1').split('\r\n')
     headers = [tuple(line.split(': ', 1)) for line in head[1:] if line]
     return _hop.decode_call(transport.Request('GET', '/r0/a', headers))
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -1,4 +1,4 @@
-"""Steps over uneven targets and uneven demand."""
+"""Steps for uneven targets and uneven demand."""
 
 import asyncio
 import pathlib
@@ -25,11 +25,11 @@
 ADDRESS = '127.0.0.1'
 HEALTH_PATH = '/health'
 LOADS = pathlib.Path(__file__).parents[2] / 'examples' / 'loads'
-#: What was told of the speed of the moment is too old then.
+#: Age at which a reported slowness is too old to be used.
 LATER_S = 1.0
 SEEDS = 20
-#: Calls from which the spread of a route is learned, and by how many of 100
-#: a share may be off then.
+#: Calls from which the spread of a route is learned, and the error of a share
+#: after them, in percentage points.
 CALLS = 2000
 SHARE_SLACK = 5
 
@@ -37,18 +37,18 @@
 # The load field.
 
 
-@given('a target that tells of its load "{field}"')
+@given('a target that reports the load "{field}"')
 def step_load_field(context, field):
     context.load = balance.decode_target_load(field)
 
 
-@given('a target that tells of its load ""')
+@given('a target that reports the load ""')
 def step_empty_load_field(context):
     context.load = balance.decode_target_load('')
 
 
 @then(
-    'it is read as {running:d}, {waiting:d} and {slots:d}, '
+    'it is decoded as {running:d}, {waiting:d} and {slots:d}, '
     'slowness {slowness:d}'
 )
 def step_load_read(context, running, waiting, slots, slowness):
@@ -56,15 +56,15 @@
     assert context.load == expected, context.load
 
 
-@then('nothing is read of it')
+@then('it is not decoded')
 def step_load_unread(context):
     assert context.load is None, context.load
 
 
-@then('no load field that is drawn is read out of bounds')
+@then('no random load field is decoded out of bounds')
 def step_load_bounds(context):
-    figures = st.one_of(st.integers().map(str), st.text(max_size=12))
-    fields = st.lists(figures, max_size=6).map(','.join)
+    numbers = st.one_of(st.integers().map(str), st.text(max_size=12))
+    fields = st.lists(numbers, max_size=6).map(','.join)
 
     @strategies.PROPERTY
     @hypothesis.given(fields)
@@ -72,8 +72,8 @@
         load = balance.decode_target_load(field)
         if load is None:
             return
-        told = [int(figure) for figure in field.split(',')]
-        assert told[:3] == [load.running, load.waiting, load.slots]
+        numbers = [int(number) for number in field.split(',')]
+        assert numbers[:3] == [load.running, load.waiting, load.slots]
         assert 1 <= load.slots <= balance.MAX_SLOTS
         assert 0 <= load.slowness_percent <= balance.MAX_SLOWNESS_PERCENT
 
@@ -84,14 +84,14 @@
 
 
 class HealthSubject:
-    """A target behind a socket, and what its daemon asks of it."""
+    """A target behind a socket, and the health check of its daemon."""
 
     def __init__(self, field: str):
         self.books = testing.TargetBooks('target-1')
         self.books.load_field = field
 
     async def probe(self) -> mesh.TargetReport | None:
-        """Ask who it is."""
+        """Run the health check."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             lambda: testing.TargetStandin(self.books), ADDRESS, 0
@@ -107,17 +107,17 @@
             server.close()
 
 
-@given('a target whose health check tells of its load "{field}"')
+@given('a target whose health check reports the load "{field}"')
 def step_health(context, field):
     context.health = HealthSubject(field)
 
 
-@when('its daemon asks who it is')
+@when('its daemon runs the health check')
 def step_probe(context):
     context.report = asyncio.run(context.health.probe())
 
 
-@then('it is known to have {slots:d} places')
+@then('it is known to have {slots:d} slots')
 def step_slots(context, slots):
     assert context.report.slots == slots, context.report
 
@@ -190,7 +190,7 @@
     assert abs(found - share) < SHARE_SLACK, found
 
 
-@then('whatever was learned, more time lets as many or more end in it')
+@then('a longer limit never lowers the share of calls in time')
 def step_shares(context):
     times_ms = st.floats(0, 1e6)
     notes = st.lists(st.tuples(times_ms, times_ms), max_size=30)
@@ -199,8 +199,8 @@
     @hypothesis.given(notes, times_ms, times_ms, times_ms)
     def check(learned, expected_ms, one_ms, other_ms):
         ends = balance.EndTimes()
-        for told_ms, elapsed_ms in learned:
-            ends.note(SET, told_ms, elapsed_ms)
+        for past_ms, elapsed_ms in learned:
+            ends.note(SET, past_ms, elapsed_ms)
         shares = [
             ends.find_share(SET, expected_ms, limit_ms)
             for limit_ms in sorted((one_ms, other_ms))
@@ -211,7 +211,7 @@
 
 
 class ChoiceSubject:
-    """Targets of two data centres, as a daemon of the first knows them."""
+    """Targets of two data centres, as seen by a daemon of the first."""
 
     def __init__(self, near: int, near_ms: int, far: int, far_ms: int):
         self.peers = mesh.PeerTable(mesh.MeshSettings())
@@ -276,7 +276,7 @@
     assert chosen == {row.host for row in context.choice.far}, chosen
 
 
-@when('all near have no free place')
+@when('no target near has a free slot')
 def step_near_busy(context):
     subject = context.choice
     subject.tried = {row.host for row in subject.near}
@@ -296,30 +296,30 @@
     assert 0 < share * 100 <= percent, share
 
 
-# The speed of the moment.
+# The current slowness.
 
 
 class SpeedSubject:
-    """What a daemon learns of the speed of its target."""
+    """What a daemon learns about the speed of its target."""
 
     def __init__(self):
         self.now_s = 0.0
         self.speed = balance.OwnSpeed(lambda: self.now_s)
 
-    def tell(self, percent: int) -> None:
-        """Let the target tell the speed of the moment."""
+    def report(self, percent: int) -> None:
+        """Let the target report its slowness."""
         self.speed.note_load(balance.TargetLoad(0, 0, 3, percent))
 
     def run(self, count: int, elapsed_ms: int, percent: int) -> None:
-        """Let calls be done one after the other."""
+        """Run calls one after the other."""
         for _ in range(count):
             self.now_s += elapsed_ms / 1000
-            self.tell(percent)
+            self.report(percent)
             self.speed.note_work(SET, elapsed_ms, percent or 100)
 
 
-@given('a target that told a slowness of {percent:d} %, and 100 % before')
-def step_told_speed(context, percent):
+@given('a target that reported a slowness of {percent:d} %, and 100 % before')
+def step_reported_slowness(context, percent):
     context.moment = balance.MomentSpeed()
     for _ in range(CALLS):
         context.moment.note(100, 0.0)
@@ -336,8 +336,8 @@
 
 
 @given(
-    'a target whose work takes {work_ms:d} ms, and told {percent:d} % for '
-    '{count:d} calls'
+    'a target whose work takes {work_ms:d} ms, and that reported '
+    '{percent:d} % for {count:d} calls'
 )
 def step_speed(context, work_ms, percent, count):
     context.speed = SpeedSubject()
@@ -345,33 +345,33 @@
 
 
 @given(
-    'a target whose work takes {work_ms:d} ms, and told no speed for '
-    '{count:d} calls'
+    'a target whose work takes {work_ms:d} ms, and that reported no slowness '
+    'for {count:d} calls'
 )
-def step_no_speed(context, work_ms, count):
+def step_no_slowness(context, work_ms, count):
     context.speed = SpeedSubject()
     context.speed.run(count, work_ms, 0)
 
 
-@when('{count:d} calls take {elapsed_ms:d} ms while it tells {percent:d} %')
+@when('{count:d} calls take {elapsed_ms:d} ms while it reports {percent:d} %')
 def step_slow_calls(context, count, elapsed_ms, percent):
-    context.speed.tell(percent)
+    context.speed.report(percent)
     context.speed.run(count, elapsed_ms, percent)
 
 
-@when('it tells {percent:d} %')
-def step_tells_speed(context, percent):
-    context.speed.tell(percent)
+@when('it reports {percent:d} %')
+def step_reports_slowness(context, percent):
+    context.speed.report(percent)
 
 
-@then('its work is known as {least:d} to {most:d} ms')
+@then('its learned work time is {least:d} to {most:d} ms')
 def step_usual_work(context, least, most):
     found = context.speed.speed.work.find_ms(SET)
     assert least <= found <= most, found
 
 
 @then(
-    'a peer that is told of it expects {least:d} to {most:d} ms now, '
+    'a peer that gets its report expects {least:d} to {most:d} ms now, '
     '{later_least:d} to {later_most:d} ms later'
 )
 def step_peer_expects(context, least, most, later_least, later_most):
@@ -405,7 +405,7 @@
 
 
 @given(
-    'a daemon beside a target that told 100 % for {count:d} calls of '
+    'a daemon beside a target that reported 100 % for {count:d} calls of '
     '{work_ms:d} ms'
 )
 def step_daemon_speed(context, count, work_ms):
@@ -413,8 +413,8 @@
     context.speed.run(count, work_ms, 100)
 
 
-def give_back(context, goal_ms, may_wait):
-    """Ask the daemon beside the target whether it gives a call back."""
+def send_call(context, goal_ms, may_wait):
+    """Return the answer of the daemon beside the target to a call."""
 
     async def ask():
         load = model.load_pattern(LOADS / 'few-targets.yaml')
@@ -446,13 +446,13 @@
     return model.run_virtual(ask())
 
 
-@then('a call of {goal_ms:d} ms that looks for a place is told to go on')
-def step_given_back(context, goal_ms):
-    answer = give_back(context, goal_ms, False)
+@then('a call of {goal_ms:d} ms that looks for a free slot is returned')
+def step_returned(context, goal_ms):
+    answer = send_call(context, goal_ms, False)
     assert answer.reason is mesh.RefusalReason.BUSY, answer
     assert answer.retry_after_ms > 0, answer
 
 
-@then('a call of {goal_ms:d} ms that may wait is not')
-def step_not_given_back(context, goal_ms):
-    assert give_back(context, goal_ms, True) is None
+@then('a call of {goal_ms:d} ms that may wait is not returned')
+def step_not_returned(context, goal_ms):
+    assert send_call(context, goal_ms, True) is None
--- a/features/steps/centres_steps.py
+++ b/features/steps/centres_steps.py
@@ -1,4 +1,4 @@
-"""Steps over data centres that are short of room."""
+"""Steps for data centres without spare capacity."""
 
 from behave import given
 from behave import then
@@ -10,19 +10,19 @@
 
 
 class CentresSubject:
-    """What gates told, and a clock."""
+    """Demand reported by gates, and a clock."""
 
     def __init__(self):
         self.demand = balance.CentreDemand()
         self.now_s = 100.0
 
     def is_short(self, data_centre: str) -> bool:
-        """Whether a data centre has no room to spare now."""
+        """Whether a data centre has no spare capacity now."""
         return self.demand.is_short(SET, data_centre, self.now_s)
 
 
-@given('{count:d} gates near that tell a demand of {percent:d} %')
-def step_told(context, count, percent):
+@given('{count:d} gates near that report a demand of {percent:d} %')
+def step_demand(context, count, percent):
     context.centres = CentresSubject()
     for _ in range(count):
         context.centres.demand.note(
@@ -30,26 +30,26 @@
         )
 
 
-@when('{age_ms:d} ms have gone by')
+@when('{age_ms:d} ms have passed')
 def step_later(context, age_ms):
     context.centres.now_s += age_ms / 1000
 
 
-@when('the set goes')
-def step_gone(context):
+@when('the set is removed')
+def step_removed(context):
     context.centres.demand.retain(['another'])
 
 
-@then('the data centre is short of room')
+@then('the data centre is saturated')
 def step_short(context):
     assert context.centres.is_short('near')
 
 
-@then('the data centre is not short of room')
+@then('the data centre is not saturated')
 def step_not_short(context):
     assert not context.centres.is_short('near')
 
 
-@then('another data centre is not short of room')
+@then('another data centre is not saturated')
 def step_other(context):
     assert not context.centres.is_short('elsewhere')
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps over rollouts: permits, exposure, verdicts, and whole fleets."""
+"""Steps for rollouts: permits, exposure, verdicts, and whole fleets."""
 
 import asyncio
 import random
@@ -22,16 +22,16 @@
 ROUTE = base.RouteName('browse')
 OTHER_ROUTE = base.RouteName('book')
 EXAMPLES = 300
-#: Calls at each of three new targets between two looks, and at eight old ones.
-CALLS_A_LOOK = 12
-LOOKS = 12
-#: Median and spread of work, as in the users' loads.
+#: Calls at each of three new and eight old targets between two polls.
+CALLS_PER_POLL = 12
+POLLS = 12
+#: Median and spread of the work time.
 WORK_MS = 130
 SPREAD = 0.8
-#: Speeds of targets of one set.
+#: Relative speeds of the targets of one set.
 SPEEDS = (0.5, 1.0, 1.5)
 SHARE = 0.1
-#: A loop under load tells the time late.
+#: An event loop under load reads the clock late.
 CLOCK_SLACK_MS = 1000
 
 
@@ -131,22 +131,22 @@
 
 
 class Version:
-    """Draws what the targets of one version show.
+    """Draws the results of calls to the targets of one version.
 
     Parameters
     ----------
     kind : str
-        As the scenario names it.
+        Kind of version, as in the scenario.
     rng : random.Random
-        Source of the draws.
+        Source of random numbers.
     """
 
     def __init__(self, kind: str, rng: random.Random):
         self.kind = kind
         self.rng = rng
 
-    def note(self, evidence: rollout.Evidence, number: int, look: int):
-        """Let one target answer one call."""
+    def note(self, evidence: rollout.Evidence, number: int, poll: int):
+        """Draw the result of one call to one target."""
         rng = self.rng
         route = ROUTE if rng.random() < 0.6 else OTHER_ROUTE
         work_ms = WORK_MS * rng.lognormvariate(0, SPREAD)
@@ -167,12 +167,12 @@
         elif self.kind == 'failing on one route':
             fails = fails or (route == OTHER_ROUTE and rng.random() < 0.5)
         elif self.kind == 'failing after a while':
-            fails = fails or (look > 3 and rng.random() < 0.5)
+            fails = fails or (poll > 3 and rng.random() < 0.5)
         evidence.note(route, fails, work_ms)
 
 
-def judge_once(kind: str, seed: int):
-    """Judge a version look by look; return the verdict and its bad calls."""
+def compute_verdict(kind: str, seed: int):
+    """Return the verdict after some polls, and the failures until then."""
     rng = random.Random(seed)
     new = [rollout.Evidence('v2', 7) for _ in range(3)]
     old = [rollout.Evidence('v1', 7) for _ in range(8)]
@@ -180,12 +180,12 @@
     is_shared = kind == 'failing like the old ones'
     old_version = Version(kind if is_shared else 'usual', rng)
     verdict = rollout.Verdict.OPEN
-    for look in range(LOOKS):
-        for _ in range(CALLS_A_LOOK):
+    for poll in range(POLLS):
+        for _ in range(CALLS_PER_POLL):
             for number, evidence in enumerate(new):
-                new_version.note(evidence, number, look)
+                new_version.note(evidence, number, poll)
             for number, evidence in enumerate(old):
-                old_version.note(evidence, number, look)
+                old_version.note(evidence, number, poll)
         verdict = rollout.choose_verdict(new, old)
         if verdict is rollout.Verdict.BAD:
             break
@@ -198,7 +198,7 @@
 
 
 def make_evidence(version: str, runs: int, bad: int) -> rollout.Evidence:
-    """Make what a target has shown; its bad calls come last."""
+    """Make the evidence of a target; its bad calls come last."""
     evidence = rollout.Evidence(base.SoftwareVersion(version), 7)
     for number in range(runs):
         evidence.note(ROUTE, number >= runs - bad, WORK_MS)
@@ -224,12 +224,14 @@
     assert found is rollout.Verdict(verdict), found
 
 
-@when('it is judged {times:d} times')
-def step_judge(context, times):
-    context.found = [judge_once(context.kind, seed) for seed in range(times)]
+@when('its verdict is computed {times:d} times')
+def step_compute_verdicts(context, times):
+    context.found = [
+        compute_verdict(context.kind, seed) for seed in range(times)
+    ]
 
 
-@then('it is found {verdict} each time')
+@then('each verdict is {verdict}')
 def step_verdict(context, verdict):
     others = [
         seed
@@ -245,11 +247,11 @@
     assert counts[len(counts) // 2] <= bad, counts[len(counts) // 2]
 
 
-# News, stages, orders.
+# Updates, stages, orders.
 
 
-@then('whatever order news come in, the newest of each set holds')
-def step_news(context):
+@then('the newest of each set is kept, whatever the order of updates')
+def step_updates(context):
     sets = st.sampled_from(['calendar', 'ledger'])
     orders = st.builds(
         rollout.Order,
@@ -292,7 +294,7 @@
     check()
 
 
-@given('a daemon that knows the row of a rollout that follows order 7')
+@given('a daemon that has the row of a rollout based on order 7')
 def step_row_alone(context):
     context.log = _rollout_log.RolloutLog()
     context.log.is_known = True
@@ -300,8 +302,8 @@
     context.log.merge(_rollout_log.RolloutNews((), (entry,)))
 
 
-@when('it has been told of {order}')
-def step_told_order(context, order):
+@when('it receives {order}')
+def step_order_received(context, order):
     orders = {
         'no order': (),
         'order 5': (make_order(5),),
@@ -372,7 +374,7 @@
 
 
 class RolloutFleet:
-    """A fleet, and callers that ask it all the while."""
+    """A fleet, and callers that send calls continuously."""
 
     def __init__(self, count: int):
         self.fleet = testing.MeshFleet(has_rollouts=True)
@@ -397,11 +399,11 @@
         ]
 
     def count_runs(self, version: str) -> int:
-        """Return the calls that targets of a version ran."""
+        """Return the number of calls that targets of a version ran."""
         return sum(len(host.books.runs) for host in self.list_hosts(version))
 
     def ask_until(self, is_over, longest_s: float) -> None:
-        """Let callers ask, one after the other, until a condition holds."""
+        """Send calls, one after the other, until a condition holds."""
         self.fleet.run(self._ask_until(is_over, longest_s))
 
     async def _ask_until(self, is_over, longest_s: float) -> None:
@@ -427,13 +429,13 @@
     context.cleanups.append(context.subject.fleet.stop)
 
 
-@when('{count:d} targets of the version v2 come')
-def step_come(context, count):
+@when('{count:d} targets of the version v2 join')
+def step_join(context, count):
     context.subject.add(count, 'v2')
 
 
 @when(
-    '{count:d} targets of the version v2 come, and are ordered within '
+    '{count:d} targets of the version v2 join, and are ordered within '
     '{duration:d} ms'
 )
 def step_ordered(context, count, duration):
@@ -447,7 +449,7 @@
         host.books.habit = testing.TargetHabit.FAILING
 
 
-@when('callers ask all the while until the operator reads {state}')
+@when('callers send calls until the operator reads {state}')
 def step_ask_until(context, state):
     subject = context.subject
     fleet = subject.fleet
@@ -460,7 +462,7 @@
             if (entry := host.daemon.source.rollouts.find_entry(SET))
         }
         if stages <= {rollout.Stage.TRIAL}:
-            # As long as nobody has moved.
+            # As long as no daemon has moved the calls.
             trial.update(
                 new=subject.count_runs('v2'), old=subject.count_runs('v1')
             )
@@ -471,8 +473,8 @@
     context.trial = trial
 
 
-@when('the store is away once the version is on trial')
-def step_store_away(context):
+@when('the store is unavailable once the version is on trial')
+def step_store_unavailable(context):
     fleet = context.subject.fleet
     fleet.wait_for(
         lambda: all(
@@ -483,7 +485,7 @@
     fleet.engine.faults.mode = testing.StoreMode.RESET
 
 
-@when('callers ask for {seconds:g} s')
+@when('callers send calls for {seconds:g} s')
 def step_ask_for(context, seconds):
     subject = context.subject
     subject.statuses.clear()
@@ -491,13 +493,13 @@
     subject.ask_until(lambda: False, seconds)
 
 
-@when('all daemons are started again')
+@when('all daemons are restarted')
 def step_restart_all(context):
     context.subject.fleet.restart_all()
     context.subject.fleet.wait_ready()
 
 
-@then('all calls were answered well')
+@then('all calls were answered with 200')
 def step_answered(context):
     statuses = context.subject.statuses
     assert statuses and set(statuses) == {200}, (
@@ -506,8 +508,8 @@
     )
 
 
-@then('no call is under way at the version v1, and none comes any more')
-def step_old_quiet(context):
+@then('no call is in progress at the version v1, and none arrives any more')
+def step_old_idle(context):
     subject = context.subject
     assert not any(host.books.running for host in subject.list_hosts('v1'))
     runs = subject.count_runs('v1')
@@ -527,8 +529,8 @@
     assert 0 < runs <= count, runs
 
 
-@then('no call comes to the version v2 any more')
-def step_new_quiet(context):
+@then('no call arrives at the version v2 any more')
+def step_new_idle(context):
     subject = context.subject
     runs = subject.count_runs('v2')
     subject.ask_until(lambda: False, 0.5)
@@ -544,7 +546,7 @@
         assert abs(off_ms) < CLOCK_SLACK_MS, off_ms
 
 
-@then('one that does not know it writes no row of a rollout')
+@then('a daemon that does not know it writes no rollout row')
 def step_no_clock(context):
     fleet = context.subject.fleet
     host = next(iter(fleet.hosts.values()))
@@ -557,7 +559,7 @@
 
 
 class _ClocklessSource:
-    """A source that has had no answer of the store."""
+    """A source that has had no answer from the store."""
 
     store_now_ms = None
     is_watching = True
@@ -570,7 +572,7 @@
 
 
 class _Rows:
-    """Rows that are only counted."""
+    """Rows that are recorded and not stored."""
 
     def __init__(self):
         self.written = []
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -1,4 +1,4 @@
-"""Steps over lifetimes of targets, and over what other writers say."""
+"""Steps for lifetimes of targets and for rows of other writers."""
 
 import asyncio
 import time
@@ -22,36 +22,36 @@
 SET = base.TargetSetName('calendar')
 ROUTE = base.RouteName('calendar')
 TARGET = base.TargetName('i-1')
-#: Within this a call of a lifetime that has ended must have an answer; the
-#: work takes several times as long.
+#: Time within which a call of an ended lifetime must be answered; the work
+#: takes several times as long.
 AT_ONCE_S = 1.5
 EXAMPLES = 500
 
 
 class LifetimeSubject:
-    """A local target that is told lines of a table."""
+    """A local target that gets the lines of a table as messages."""
 
     def __init__(self):
         self.target = mesh.LocalTarget()
 
-    def tell(self, line: str) -> None:
-        """Tell a line such as ``ready 40 born 10``."""
+    def process(self, line: str) -> None:
+        """Process a line such as ``ready 40 born 10``."""
         words, _mark, born = line.partition(' born ')
         kind, _space, sequence = words.partition(' ')
         if kind == 'leaving':
-            self._tell_report('ready', 2, born)
+            self._take_report('ready', 2, born)
             self.target.leave(mesh.Lifetime(TARGET, int(born)))
         elif kind == 'down':
-            self._tell_report('ready', sequence, born)
+            self._take_report('ready', sequence, born)
             self.target.note_down(mesh.Lifetime(TARGET, int(born)))
         elif kind == 'forgotten':
-            self._tell_report('ready', 2, born)
+            self._take_report('ready', 2, born)
             self.target.forget()
         else:
-            self._tell_report(kind, sequence, born)
+            self._take_report(kind, sequence, born)
 
     def move(self, kind, lifetime, counter) -> set[mesh.Lifetime]:
-        """Let something arrive; return the lifetimes that it ends."""
+        """Process a message; return the lifetimes that it ends."""
         before = self.target.lifetime
         ended = set()
         if kind == 'leave':
@@ -70,7 +70,7 @@
             ended.add(before)
         return ended
 
-    def _tell_report(self, state, sequence, born) -> None:
+    def _take_report(self, state, sequence, born) -> None:
         lifetime = mesh.Lifetime(TARGET, int(born))
         report = make_report(state, int(sequence), lifetime)
         self.target.take_report(report, 0.0)
@@ -89,19 +89,19 @@
     )
 
 
-@given('a lifetime of a target told of {first} born {born:d}')
+@given('a target whose lifetime reported {first} born {born:d}')
 def step_first(context, first, born):
     context.subject = LifetimeSubject()
-    context.subject.tell(f'{first} born {born}')
+    context.subject.process(f'{first} born {born}')
 
 
-@when('it tells of {second} born {born:d}')
+@when('the target then sends {second} born {born:d}')
 def step_second(context, second, born):
     if second == 'leaving':
         lifetime = mesh.Lifetime(TARGET, born)
         context.subject.target.leave(lifetime)
     else:
-        context.subject.tell(f'{second} born {born}')
+        context.subject.process(f'{second} born {born}')
 
 
 @then('the target is {state} in the lifetime born at {born:d}')
@@ -113,7 +113,7 @@
     assert (target.report is None) == (state == 'none')
 
 
-@then('no order of reports and goodbyes opens a lifetime that has ended')
+@then('no order of reports and deregistrations opens an ended lifetime')
 def step_any_order(context):
     lifetimes = st.builds(
         mesh.Lifetime,
@@ -146,7 +146,7 @@
 @given('a target beside which another one, born at {born:d}, reported late')
 def step_rival(context, born):
     context.subject = LifetimeSubject()
-    context.subject.tell('ready 5 born 1')
+    context.subject.process('ready 5 born 1')
     other = mesh.Lifetime(base.TargetName('i-2'), born)
     report = make_report('ready', 7, other)
     assert not context.subject.target.take_report(report, 0.0)
@@ -172,12 +172,12 @@
     target = context.subject.target
     assert target.is_open
     assert target.target == {'same': TARGET, 'other': 'i-2'}[which]
-    # The other one is asked for where it is not believed.
+    # The other id is checked where it is not accepted.
     assert (target.rival is not None) == (which == 'same')
 
 
-@given('what a daemon has learnt of a target born at {born:d}')
-def step_learnt(context, born):
+@given('a daemon that has learned about a target born at {born:d}')
+def step_learned(context, born):
     context.fleet = mesh.FleetTable()
     context.peers = mesh.PeerTable(mesh.MeshSettings())
     row = testing.make_member_row('near', born_ms=born)
@@ -224,8 +224,8 @@
     context.fleet.replace({row.host: row})
 
 
-@when('a daemon tells of the same target born at {born:d}')
-def step_told(context, born):
+@when('a daemon reports the same target born at {born:d}')
+def step_reported(context, born):
     row = testing.make_member_row('near', born_ms=born)
     context.fleet.take_told(row)
 
@@ -257,8 +257,8 @@
     assert found == news
 
 
-@given('a gate that learnt of a slow target that refuses')
-def step_gate_learnt(context):
+@given('a gate that has learned of a slow target that refuses calls')
+def step_gate_learned(context):
     gate = mesh.Gate(mesh.MeshSettings(), lambda: 0.0)
     gate.open(12)
     ticket = mesh.Ticket(ROUTE, 1, mesh.CallUrgency.FIRST, 9.0, 9.0)
@@ -303,8 +303,8 @@
     assert subject.fleet.report(subject.first, state) == 200
 
 
-@when('a goodbye of the lifetime born at {born:d} arrives late')
-def step_late_goodbye(context, born):
+@when('a deregistration of the lifetime born at {born:d} arrives late')
+def step_late_deregistration(context, born):
     subject = context.mesh
     living, subject.first.born_ms = subject.first.born_ms, born
     assert subject.fleet.deregister(subject.first) == 200
@@ -366,7 +366,7 @@
 
 
 @when('it says "{state}" once more')
-def step_says_again(context, state):
+def step_reports_again(context, state):
     assert context.mesh.fleet.report(context.mesh.first, state) == 200
 
 
@@ -379,8 +379,8 @@
     assert [item.status for item in answers] == [status] * count, answers
 
 
-@given('its daemon has learnt that its work takes {work_ms:d} ms')
-def step_learnt_work(context, work_ms):
+@given('its daemon has learned that its work takes {work_ms:d} ms')
+def step_learned_work(context, work_ms):
     gate = context.mesh.first.daemon.state.side.gate
     for _ in range(20):
         gate.work.note(ROUTE, work_ms)
@@ -410,23 +410,23 @@
     context.mesh.fleet.wait_for(lambda: not gate.running)
 
 
-@when('it tells for the first time when it was born')
-def step_tells_start(context):
+@when('it reports its start for the first time')
+def step_reports_start(context):
     host = context.mesh.first
     assert host.born_ms == 0, host.born_ms
     host.born_ms = 10
     assert context.mesh.fleet.report(host) == 200
 
 
-@then('no request is blamed for an end')
-def step_none_blamed(context):
+@then('no request is suspected of a crash')
+def step_none_suspected(context):
     for host in context.mesh.fleet.hosts.values():
         assert not len(host.daemon.state.crashes)
         assert not host.daemon.state.side.watch.records
 
 
-@given('two hosts with targets, and the store away')
-def step_store_away(context):
+@given('two hosts with targets, and the store unavailable')
+def step_store_unavailable(context):
     fleet = context.fleet = testing.MeshFleet()
     context.cleanups.append(fleet.stop)
     fleet.configure(testing.make_document(1, [{}]))
@@ -435,8 +435,8 @@
     fleet.engine.faults.mode = testing.StoreMode.RESET
 
 
-@when('the second target says goodbye, and its daemon starts again')
-def step_goodbye(context):
+@when('the second target deregisters, and its daemon restarts')
+def step_deregister(context):
     second = context.hosts[1]
     second.books.is_leaving = True
     context.fleet.deregister(second)
@@ -444,7 +444,7 @@
     context.fleet.restart(second)
 
 
-@when('the daemon of the second target starts again')
+@when('the daemon of the second target restarts')
 def step_start_again(context):
     context.fleet.restart(context.hosts[1])
 
@@ -456,7 +456,7 @@
     context.fleet.wait_for(lambda: daemon.is_ready)
 
 
-@when('two reports of that target come')
+@when('two reports of that target arrive')
 def step_two_reports(context):
     context.fleet.report(context.hosts[1])
     context.fleet.report(context.hosts[1])
@@ -468,7 +468,7 @@
     context.fleet.wait_for(lambda: side.gate.is_open)
 
 
-@when('a late report of that target comes')
+@when('a late report of that target arrives')
 def step_late_report(context):
     context.fleet.report(context.hosts[1])
 
@@ -482,14 +482,11 @@
         time.sleep(0.01)
 
 
-@then(
-    'whatever rows change in whatever order, the same targets get calls as at '
-    'once'
-)
+@then('the same targets get calls, however the rows have changed before')
 def step_same_index(context):
-    """Compare a table that is told each change with one that starts anew.
+    """Compare a table that gets each change with a new one.
 
-    Hosts share addresses, change their sets, versions and states, and go.
+    Hosts share addresses, change their sets, versions and states, and leave.
     """
     change = st.builds(
         dict,
@@ -512,7 +509,7 @@
         table = _make_rollout_table()
         members = {}
         for step in steps:
-            # The one written last is at the end.
+            # The row written last is at the end.
             host = step if isinstance(step, str) else step['host']
             members = {
                 name: row for name, row in members.items() if name != host
@@ -529,7 +526,7 @@
 
 
 def _make_rollout_table() -> mesh.FleetTable:
-    """Make a table that knows of a version on trial in one of two sets."""
+    """Make a table with a version on trial in one of two sets."""
     table = mesh.FleetTable()
     table.rollouts = _rollout_log.RolloutLog()
     order = rollout.Order(SET, base.SoftwareVersion('v2'), 9000, 7)
--- a/features/targets.feature
+++ b/features/targets.feature
@@ -1,15 +1,15 @@
-Feature: A target that starts again under its id is a new lifetime
-  A target may start again under the id that it had, and then counts its
-  reports anew.  Told apart by their ids alone, the first reports of the new
-  lifetime were late ones, one that had said that it was leaving was closed
-  for good, and a late goodbye closed the one that had come after it.
+Feature: A target that restarts under its id has a new lifetime
+  A restarted target may keep its id and restart the sequence of its reports.
+  If lifetimes are told apart by the id alone, the first reports of the new one
+  are dropped as late, a target that was leaving stays closed for good, and a
+  late deregistration closes its successor.
 
   Scenario Outline: Reports of two lifetimes with one id
-    Given a lifetime of a target told of <first>
-    When it tells of <second>
+    Given a target whose lifetime reported <first>
+    When the target then sends <second>
     Then the target is <state> in the lifetime born at <born>
 
-    Examples: a later lifetime is taken at once
+    Examples: a later lifetime takes effect at once
       | first                | second              | state  | born |
       | ready 40 born 10     | ready 1 born 20     | open   | 20   |
       | ready 40 born 10     | draining 1 born 20  | closed | 20   |
@@ -33,13 +33,13 @@
       | leaving born 20      | ready 3 born 20     | closed | 20   |
       | forgotten born 20    | ready 3 born 20     | none   | 0    |
 
-    Examples: a lifetime whose start was not known is the one that tells it
+    Examples: a lifetime of unknown start takes the start that it reports
       | first                | second              | state  | born |
       | ready 1 born 0       | ready 2 born 20     | open   | 20   |
       | ready 2 born 0       | ready 1 born 20     | open   | 0    |
       | draining 1 born 0    | ready 2 born 20     | closed | 0    |
 
-    Examples: one that has ended without a word is opened by its next report
+    Examples: one that ended unannounced is opened by its next report
       | first                | second              | state  | born |
       | down 40 born 10      | ready 1 born 20     | open   | 20   |
       | down 40 born 10      | ready 41 born 10    | open   | 10   |
@@ -49,16 +49,16 @@
       | down 40 born 10      | draining 41 born 10 | closed | 10   |
       | leaving born 10      | down 40 born 10     | closed | 10   |
 
-  Scenario: Whatever arrives late opens no lifetime that has ended
-    Then no order of reports and goodbyes opens a lifetime that has ended
+  Scenario: Late messages open no lifetime that has ended
+    Then no order of reports and deregistrations opens an ended lifetime
 
-  Scenario: A late report that is settled afterwards brings nothing back
+  Scenario: A late report that is checked afterwards restores no old lifetime
     Given a target beside which another one, born at 10, reported late
     When that one starts again, born at 20, before it is asked who it is
     Then the target is open in the lifetime born at 20
 
-  Scenario Outline: A first report of another id is taken, unless it is strange
-    Given a lifetime of a target told of ready 5 born <present>
+  Scenario Outline: A first report of another id is accepted, unless its start is suspect
+    Given a target whose lifetime reported ready 5 born <present>
     When another id reports itself for the first time, born at <other>
     Then <taken> is taken for the target beside the daemon
 
@@ -70,27 +70,27 @@
       | 0       | 20    | the other id |
 
   Scenario: A peer that starts again under its id is a new one to others
-    Given what a daemon has learnt of a target born at 10
+    Given a daemon that has learned about a target born at 10
     When the row of its host names the same target born at 20
     Then it is cold, its load and work times are not known, and it is open
     And the connections to its daemon are kept
 
-  Scenario: What daemons tell of an earlier lifetime is not believed
+  Scenario: Reports by daemons of an earlier lifetime are ignored
     Given a member table that has a target born at 20
-    When a daemon tells of the same target born at 10
+    When a daemon reports the same target born at 10
     Then the member table has it born at 20
-    When a daemon tells of the same target born at 30
+    When a daemon reports the same target born at 30
     And the store's row of it is written again, born at 25
     Then the member table has it born at 30
     When the store's row of it is written again, born at 40
     Then the member table has it born at 40
 
-  Scenario: Rows of the version before, and for it
+  Scenario: Member rows are compatible with the previous version
     Then a member row without the start of its target is decoded
     And the row of a target born at 20 keeps that on its way to others
 
-  Scenario: A gate forgets what it learnt of the earlier lifetime
-    Given a gate that learnt of a slow target that refuses
+  Scenario: A gate forgets what it learned from the earlier lifetime
+    Given a gate that has learned of a slow target that refuses calls
     When its target starts again
     Then its work times and failures are those of a new target
 
@@ -101,14 +101,14 @@
     Then the first host serves the second, whose own target leaves
     And all daemons have a row of a target born at 20
 
-  Scenario: A late goodbye of the earlier lifetime is acknowledged only
+  Scenario: A late deregistration of the earlier lifetime is only acknowledged
     Given a mesh with two calendar hosts
     And the target of the first host said "ready" in a lifetime born at 10
     When it starts again, born at 20, and says "ready"
-    And a goodbye of the lifetime born at 10 arrives late
+    And a deregistration of the lifetime born at 10 arrives late
     Then the first host serves the second, whose own target leaves
 
-  Scenario: Calls of an earlier lifetime do not hold places of the next one
+  Scenario: Calls of an earlier lifetime do not occupy slots of the next one
     Given a mesh with two calendar hosts
     And only the first host has a target
     And the target of the first host said "ready" in a lifetime born at 10
@@ -119,7 +119,7 @@
     Then the 2 calls of the earlier lifetime end at once
     And no place of the target is taken
 
-  Scenario: Calls that the next lifetime may have are not ended
+  Scenario: Calls that the next lifetime may run are not ended
     Given a mesh with two calendar hosts
     And only the first host has a target
     And the target of the first host said "ready" in a lifetime born at 10
@@ -128,50 +128,51 @@
     And it starts again, born at 20, and says "ready"
     Then the 2 calls are answered 200
 
-  Scenario: What was learnt is forgotten also after a target was not there
+  Scenario: Learned work times are forgotten also after a target was missing
     Given a mesh with two calendar hosts
     And the target of the first host said "ready" in a lifetime born at 10
-    And its daemon has learnt that its work takes 900 ms
+    And its daemon has learned that its work takes 900 ms
     When another target answers at its address
     And it starts again, born at 20, and says "ready"
     Then its daemon does not know how long its work takes
 
-  Scenario: A target that tells its start later has not ended
-    Seen in a profile of a calm start: a request was blamed for an end that
-    there was not.  A health check, which tells no start, had opened the gate;
-    the first report told it, and was taken for another lifetime.
+  Scenario: A target that reports its start later has not ended
+    Guards against a request being suspected of a crash that did not happen.  A
+    health check, which carries no start time, had opened the gate; the first
+    report carried one, and was taken for another lifetime.
     Given a mesh with two calendar hosts
     And only the first host has a target
     And the targets work 0.3 s
     When 2 callers ask "/slow/", and all places of the target are taken
-    And it tells for the first time when it was born
+    And it reports its start for the first time
     Then the 2 calls are answered 200
-    And no request is blamed for an end
-
-  Scenario: A goodbye outlives its daemon, though the store is away
-    Seen: a target that had said goodbye to a daemon that was leaving ended
-    under a call, for which its caller got 502.  The row could not be written,
-    the daemon had started again, and a late report opened the gate.
-    Given two hosts with targets, and the store away
-    When the second target says goodbye, and its daemon starts again
-    And a late report of that target comes
+    And no request is suspected of a crash
+
+  Scenario: A deregistration survives its daemon while the store is unavailable
+    Guards against a target that ends during a call, so that its caller gets
+    502.  The target had deregistered at a daemon that was leaving.  The row
+    could not be written, and after the restart of the daemon a late report
+    opened the gate.
+    Given two hosts with targets, and the store unavailable
+    When the second target deregisters, and its daemon restarts
+    And a late report of that target arrives
     Then the gate before it stays closed
 
-  Scenario: A goodbye outlives its daemon, and the store is back with the old row
-    Seen: the same, once the store had come back 0.1 s before the late report.
-    The row that it had was written before the goodbye.
-    Given two hosts with targets, and the store away
-    When the second target says goodbye, and its daemon starts again
+  Scenario: A deregistration survives its daemon and an outdated stored row
+    The same failure, seen when the store had come back 0.1 s before the late
+    report, with a row that was written before the deregistration.
+    Given two hosts with targets, and the store unavailable
+    When the second target deregisters, and its daemon restarts
     And the store is back, and that daemon knows the rows
-    And a late report of that target comes
+    And a late report of that target arrives
     Then the gate before it stays closed
 
-  Scenario: A target whose daemon has started again serves after two reports
-    Given two hosts with targets, and the store away
-    When the daemon of the second target starts again
+  Scenario: A target whose daemon has restarted serves after two reports
+    Given two hosts with targets, and the store unavailable
+    When the daemon of the second target restarts
     And the store is back, and that daemon knows the rows
-    And two reports of that target come
+    And two reports of that target arrive
     Then the gate before it opens
 
-  Scenario: Rows that change one by one, and the same rows at once
-    Then whatever rows change in whatever order, the same targets get calls as at once
+  Scenario: Rows that change one by one give the same index as all at once
+    Then the same targets get calls, however the rows have changed before
--- a/sedgering/balance/_remote.py
+++ b/sedgering/balance/_remote.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-__all__ = ['RemoteThreshold', 'Offer', 'make_distance']
+__all__ = ['Offer', 'RemoteThreshold', 'make_distance']
 
 BYTES_PER_KB = 1000
 #: Upper bound of the required gain, however large an answer is: a call whose
