--- a/sedgering/mesh/__init__.py
+++ b/sedgering/mesh/__init__.py
@@ -1,8 +1,8 @@
-"""The event-driven request path: gate beside the target, choice, retries.
+"""The request path: target selection, admission control and retries.
 
-Every daemon is the only caller of the target beside it.  A request goes
-from the daemon of its caller to the daemon of the chosen target, which
-admits it, lets it wait, or refuses it before any work.
+Each daemon is the only caller of the target on its host. A request goes from
+the daemon of its caller to the daemon of the chosen target, which runs it,
+queues it, or refuses it before any work.
 """
 
 from sedgering.mesh._budget import RetryWindow
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -1,4 +1,4 @@
-"""Puts the event-driven daemon together, and takes it apart."""
+"""Constructs, runs and shuts down the event-driven daemon."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -19,7 +19,6 @@
 from sedgering.mesh import _follow
 from sedgering.mesh import _gate
 from sedgering.mesh import _inbound
-from sedgering.mesh import _leave_log
 from sedgering.mesh import _link
 from sedgering.mesh import _messages
 from sedgering.mesh import _notice
@@ -31,6 +30,7 @@
 from sedgering.mesh import _rollout_driver
 from sedgering.mesh import _room
 from sedgering.mesh import _settings
+from sedgering.mesh import _shutdown_log
 from sedgering.mesh import _source
 from sedgering.mesh import _state
 from sedgering.mesh import _target
@@ -42,46 +42,48 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Time for which the first report of the local target is awaited before it
-#: is asked.
-AWAIT_REPORT_S = 0.1
-#: Between two looks at whether a leaving daemon is idle.
-LEAVE_CHECK_S = 0.05
-#: A leaving daemon ends when nothing was under way at so many looks in a
-#: row, 0.3 s: peers that would send more have been refused meanwhile, and
-#: leave it out for 2 s.  Looks are counted, since time also passes while the
-#: process stands still.
-LEAVE_QUIET_LOOKS = 6
-#: Share of the grace time for which a leaving daemon takes requests at most;
-#: the rest is for those that are under way.
+#: Time to wait for the first report of the local target before its health
+#: check is called.
+FIRST_REPORT_WAIT_S = 0.1
+#: Interval between idle checks while the daemon shuts down.
+IDLE_CHECK_INTERVAL_S = 0.05
+#: Consecutive idle checks, 0.3 s in all, after which a leaving daemon ends. By
+#: then, peers that would send more calls have been refused and skip this
+#: daemon for 2 s. Checks are counted instead of time, because time also passes
+#: while the process is stopped.
+LEAVE_IDLE_CHECKS = 6
+#: Largest share of the grace time during which a leaving daemon accepts new
+#: requests; the rest is for requests under way.
 LEAVE_SERVING_SHARE = 0.5
-#: Time before the end of a leaving daemon at which what is still under way
-#: is answered: such answers are small, and take a round trip to be read.
-LAST_ANSWERS_S = 0.2
-#: Share of the grace time that this and the margin take at most: work may be
-#: broken off in the last sixth of it only.
-LAST_SHARE = 0.15
-#: Daemons that are told of the end of a target at once, of those beside the
-#: targets of its set; others learn it from its row.  A message takes some
-#: 0.5 ms on both hosts together.
-NOTICES_LIMIT = 64
-#: States of a target that may answer now, whatever its row says.
-_LIVING_STATES = frozenset(
+#: Time before the end of the shutdown at which requests still under way are
+#: answered with an error. These answers are small, but the caller needs a
+#: round trip to read them.
+FINAL_ANSWERS_S = 0.2
+#: Largest share of the grace time that FINAL_ANSWERS_S and the leave margin
+#: take together: work may be aborted only in the last sixth of the grace time.
+FINAL_SHARE = 0.15
+#: Largest number of daemons of the same target set that are notified directly
+#: of a crash; others learn of it from the member row. A notice costs about 0.5
+#: ms of processor time on the two hosts together.
+CRASH_NOTICES_LIMIT = 64
+#: States of a row whose target may be running, so that the result of its
+#: health check is accepted.
+_ACTIVE_STATES = frozenset(
     (_messages.TargetState.READY, _messages.TargetState.DOWN)
 )
 
 
 class MeshDaemon:
-    """One daemon: its tables, its listeners, and its end.
+    """One daemon with its tables, its listeners and its shutdown.
 
     Parameters
     ----------
     identity, addresses
-        Who it is and where it listens.
+        Identity of the daemon, and where it listens.
     state : RequestState
-        Shared by all requests.
+        State that all requests share.
     source : MeshSource
-        Versions and members.
+        Provides versions, members and rollouts.
     """
 
     def __init__(
@@ -112,7 +114,7 @@
         self.backlog = _backlog.AnswerBacklog(
             self.inbound, state.side.answer_room
         )
-        self.leave_log = _leave_log.LeaveLog(
+        self.leave_log = _shutdown_log.ShutdownLog(
             self.outbound, self.inbound, self.pause, state.decisions.counts
         )
         self.rollouts = _rollout_driver.RolloutDriver(
@@ -120,17 +122,18 @@
         )
         if source.rollout_store is not None:
             state.fleet.rollouts = source.rollouts
-        #: A report that waits for another one; see `_needs_another_report`.
-        self._early_report: _messages.TargetReport | None = None
+        #: A report that a second one has to confirm; see
+        #: `_needs_confirmation`.
+        self._unconfirmed_report: _messages.TargetReport | None = None
         self.is_leaving = False
-        state.side.watch.on_end = self._tell_end
+        state.side.watch.on_end = self._send_crash_notices
         state.find_currency = source.find_currency
         self._servers: list[asyncio.AbstractServer] = []
         self._tasks: list[asyncio.Task] = []
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers of this host may send new work."""
+        """Whether callers of this host may send new requests."""
         return (
             not self.is_leaving
             and self.state.config.snapshot is not None
@@ -139,12 +142,12 @@
         )
 
     async def start(self, opened: ports.OpenPorts | None = None) -> None:
-        """Listen for callers and peers, and start to watch.
+        """Listen for callers and peers, and start the background tasks.
 
         Parameters
         ----------
         opened : OpenPorts or None
-            Ports that listen already.
+            Sockets that are already listening.
         """
         own = self.addresses
         opened = opened or ports.OpenPorts()
@@ -176,10 +179,10 @@
         LOG.info('started', extra={'detail': f'{own.address}'})
 
     async def _find_target(self) -> None:
-        """Ask the local target who it is, unless it says so first."""
-        await asyncio.sleep(AWAIT_REPORT_S)
+        """Call the health check of the local target if it sends no report."""
+        await asyncio.sleep(FIRST_REPORT_WAIT_S)
         while not self.is_ready:
-            await asyncio.sleep(AWAIT_REPORT_S)
+            await asyncio.sleep(FIRST_REPORT_WAIT_S)
         side = self.state.side
         path = self.state.config.health_paths.get(self.identity.target_set)
         if side.target.report is not None or not path:
@@ -188,16 +191,16 @@
         if report is None or side.target.report is not None:
             return
         if report.state is not _messages.TargetState.READY:
-            LOG.info('probe refused', extra={'target': report.target})
+            LOG.info('target is not ready', extra={'target': report.target})
             return
         row = self.state.fleet.members.get(self.identity.host)
         if row is not None and row.target == report.target:
-            if row.state not in _LIVING_STATES:
-                # An earlier lifetime of this daemon has acknowledged that
-                # the target is leaving.
+            if row.state not in _ACTIVE_STATES:
+                # A previous process of this daemon acknowledged that the
+                # target is leaving.
                 LOG.info('target is leaving', extra={'target': row.target})
                 return
-            # A health check does not tell when the target was born.
+            # A health check does not return the start time of the target.
             report = msgspec.structs.replace(
                 report, born_ms=row.born_ms, version=row.version
             )
@@ -211,18 +214,18 @@
             self.identity.target_set,
         )
 
-    async def _settle_rival(self) -> None:
-        """Ask who answers at the address that two lifetimes claim."""
+    async def _resolve_address_conflict(self) -> None:
+        """Check which of two lifetimes answers at the target address."""
         path = self.state.config.health_paths.get(self.identity.target_set)
         answer = await self._probe_target(path) if path else None
         side = self.state.side
-        present = answer.target if answer else None
-        if side.target.settle_rival(present, side.gate.now_s()):
+        current = answer.target if answer else None
+        if side.target.settle_rival(current, side.gate.now_s()):
             side.note_lifetime()
-            self._show_target()
+            self._publish_target()
 
     def _check_peers(self, now_s: float) -> None:
-        """Ask silent peers whether they live, and give them up."""
+        """Ping silent peers, and abandon those that do not answer."""
         if self.pause.find_lag_s():
             return
         peers = self.state.peers
@@ -231,7 +234,7 @@
         peers.abandon_silent(now_s)
 
     def take_config(self, config: _config.AcceptedConfig) -> None:
-        """Put a version in force, if it is newer."""
+        """Apply a configuration version unless it is outdated."""
         if self.state.config.apply(config):
             routes = config.bundle.routes
             self.state.turns.retain(routes)
@@ -250,14 +253,14 @@
         self._note_ready()
 
     def _note_ready(self) -> None:
-        """Let requests go on that came before the daemon was ready."""
+        """Release requests that were held until the daemon was ready."""
         if self.is_ready:
             self.state.start.end()
 
     def take_members(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> None:
-        """Take over the list of members."""
+        """Replace the member table."""
         if not self.state.fleet.is_known and self.identity.host in members:
             own = members[self.identity.host]
             self.state.side.watch.restore(own.crashes)
@@ -270,20 +273,20 @@
             self.state.note_started(row)
         self.state.budget.daemons = max(1, len(members))
         self.state.quotas.take_members(self.state.fleet.members)
-        self._refresh_permit()
+        self._update_permit()
         self.follower.note_members_known()
         self._note_ready()
 
     def take_rollouts(self) -> None:
-        """Take in that orders or rollouts have changed."""
+        """Apply changed orders and rollouts."""
         rollouts = self.source.rollouts
         self.state.fleet.note_rollouts()
         self.state.exposure.retain(rollouts.list_trials())
-        self._refresh_permit()
+        self._update_permit()
         self._note_ready()
 
-    def _refresh_permit(self) -> None:
-        """Open or close the gate as the version of the target allows."""
+    def _update_permit(self) -> None:
+        """Open or close the gate as rollouts permit the target version."""
         side = self.state.side
         report = side.target.report
         if report is None:
@@ -301,49 +304,49 @@
             side.refresh_gate()
 
     def take_report(self, report: _messages.TargetReport) -> None:
-        """Take in what the local target says of itself.
+        """Process a report of the local target.
 
         Raises
         ------
         ReportError
-            When it is not the word of a target that can be here.
+            When the report cannot come from a target of this host.
         """
         self._check_set(report.target_set)
         self.check_lifetime(report.lifetime)
-        if self._needs_another_report(report):
+        if self._needs_confirmation(report):
             return
         now_s = self.state.side.gate.now_s()
         target = self.state.side.target
-        was_settling = target.rival is not None
+        had_rival = target.rival is not None
         is_changed = target.take_report(report, now_s)
         self.state.side.note_lifetime()
         if is_changed:
-            self._refresh_permit()
-            self._show_target()
-        if target.rival is not None and not was_settling:
-            self._start_task(self._settle_rival())
+            self._update_permit()
+            self._publish_target()
+        if target.rival is not None and not had_rival:
+            self._start_task(self._resolve_address_conflict())
 
     def _start_task(self, work: Coroutine) -> None:
-        """Run something beside all else, until the daemon ends."""
+        """Run a background task that is cancelled when the daemon ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    def _needs_another_report(self, report: _messages.TargetReport) -> bool:
-        """Whether one report is too little to open the gate for a target.
+    def _needs_confirmation(self, report: _messages.TargetReport) -> bool:
+        """Whether a second report must confirm this one before the gate opens.
 
-        It may be a late one, of a target that has said goodbye to an earlier
-        lifetime of this daemon while no row could be written: it got calls,
-        and ended under them, also once the store was back with the old row.
-        A target that is there reports again, 1.5 s later, and answers its
-        health check before that.
+        The report may be a delayed one of a target that deregistered with a
+        previous process of this daemon while no row could be written. Such a
+        target received calls and ended while they ran, also once the store was
+        back with the old row. A target that is running reports again after 1.5
+        s, and answers its health check before that.
         """
         is_first = report.sequence <= _target.FIRST_SEQUENCE
         is_ready = report.state is _messages.TargetState.READY
         is_present = self.state.side.target.report is not None
         if is_first or is_present or not is_ready:
             return False
-        earlier, self._early_report = self._early_report, report
+        earlier, self._unconfirmed_report = self._unconfirmed_report, report
         if earlier is None or earlier.lifetime != report.lifetime:
             return True
         return report.sequence <= earlier.sequence
@@ -351,19 +354,19 @@
     def check_lifetime(
         self, lifetime: _messages.Lifetime
     ) -> _messages.Lifetime:
-        """Return a lifetime that is told of.
+        """Return the lifetime of a report or deregistration if it is valid.
 
         Raises
         ------
         ReportError
-            When it does not tell its start, and its target does.
+            When it has no start time although the target has reported one.
         """
-        present = self.state.side.target.lifetime
+        current = self.state.side.target.lifetime
         if (
-            present is not None
-            and lifetime.target == present.target
+            current is not None
+            and lifetime.target == current.target
             and lifetime.born_ms == _messages.UNKNOWN_BORN_MS
-            and present.born_ms != _messages.UNKNOWN_BORN_MS
+            and current.born_ms != _messages.UNKNOWN_BORN_MS
         ):
             raise exceptions.ReportError(
                 exceptions.Code.REPORT_LIFETIME, lifetime.target
@@ -371,7 +374,7 @@
         return lifetime
 
     def _check_set(self, target_set: base.TargetSetName) -> None:
-        """Refuse a target set that neither settings nor the bundle name."""
+        """Refuse a target set that settings and bundle do not define."""
         if target_set == self.identity.target_set:
             return
         snapshot = self.state.config.snapshot
@@ -381,12 +384,12 @@
             )
 
     def take_leave(self, lifetime: _messages.Lifetime) -> None:
-        """Note that the local target is leaving for good."""
+        """Record that the local target has deregistered."""
         if self.state.side.target.leave(lifetime):
-            self._show_target()
+            self._publish_target()
 
     def render_metrics(self) -> bytes:
-        """Return counters and present values as text."""
+        """Return counters and gauges in the metrics text format."""
         gate = self.state.side.gate
         callers = self.outbound.find_load()
         return self.state.decisions.counts.render(
@@ -410,13 +413,14 @@
             self.state.workspace_counts.list_largest(),
         )
 
-    def _tell_end(self, record: _crash_records.CrashRecord) -> None:
-        """Tell others that the local target has ended, and under what.
+    def _send_crash_notices(self, record: _crash_records.CrashRecord) -> None:
+        """Notify other daemons of a crash of the local target.
 
-        The daemons beside targets of its set first: each is the only caller
-        of its target.
+        Only daemons of the same target set are notified directly: each is the
+        only caller of its target. A crash without suspected requests needs no
+        notice.
         """
-        self._show_target()
+        self._publish_target()
         if not record.suspects:
             return
         rows = [
@@ -424,19 +428,19 @@
             for row in self.state.fleet.by_set.get(self._target_set, ())
             if row.host != self.identity.host
         ]
-        if len(rows) > NOTICES_LIMIT:
-            rows = self.state.rng.sample(rows, NOTICES_LIMIT)
+        if len(rows) > CRASH_NOTICES_LIMIT:
+            rows = self.state.rng.sample(rows, CRASH_NOTICES_LIMIT)
         data = _notice.encode_notice(record)
         for row in rows:
             peer = self.state.peers.find(row)
-            self._start_task(peer.ask(data, 'notice lost'))
+            self._start_task(peer.ask(data, 'crash notice not delivered'))
 
     @property
     def _target_set(self) -> base.TargetSetName:
         report = self.state.side.target.report
         return report.target_set if report else self.identity.target_set
 
-    def _show_target(self) -> None:
+    def _publish_target(self) -> None:
         side = self.state.side
         side.refresh_gate()
         side.row = self._make_row()
@@ -468,15 +472,17 @@
         )
 
     async def leave(self, grace_ms: int) -> None:
-        """Leave without cutting a request.
+        """Shut down without aborting a request.
 
-        Peers learn that this host is leaving; callers stop when they
-        have found it not ready.  Meanwhile it goes on answering both.
+        Peers learn from the removed row that this host is leaving; callers
+        stop once its readiness check fails. Until then the daemon goes on
+        answering both.
 
         Parameters
         ----------
         grace_ms : int
-            Time after which the process is ended from outside.
+            Time after which the process is killed from outside, in
+            milliseconds.
         """
         end_s = self._plan_end(grace_ms / 1000)
         self.is_leaving = True
@@ -491,36 +497,36 @@
             grace_ms * LEAVE_SERVING_SHARE,
         )
         await asyncio.sleep(serving_ms / 1000)
-        # Peers that have not heard of it send calls until they are refused;
-        # what is accepted now could be cut at the end.
+        # Peers that have not yet seen the removed row send calls until they
+        # are refused. A call that is accepted now might be aborted at the end.
         self.state.side.leave()
         self.state.serving.is_over = True
         for server in self._servers:
             server.close()
-        await self._wait_until_quiet(end_s)
+        await self._wait_until_idle(end_s)
         self._stop_tasks()
         self.leave_log.note_end()
 
     def _plan_end(self, grace_s: float) -> float:
-        """Bound all requests by the grace time; return when to end."""
+        """Limit all requests to the grace time; return when to end."""
         margin_s = self.state.mesh_settings.leave_margin_ms / 1000
-        last_s = margin_s + LAST_ANSWERS_S
-        kept_share = min(1.0, LAST_SHARE * grace_s / last_s)
+        reserved_s = margin_s + FINAL_ANSWERS_S
+        scale = min(1.0, FINAL_SHARE * grace_s / reserved_s)
         end_s = asyncio.get_running_loop().time() + grace_s
-        end_s -= margin_s * kept_share
-        self.state.serving.end_at(end_s - LAST_ANSWERS_S * kept_share)
+        end_s -= margin_s * scale
+        self.state.serving.end_at(end_s - FINAL_ANSWERS_S * scale)
         return end_s
 
-    async def _wait_until_quiet(self, end_s: float) -> None:
-        """Wait until nothing is under way, or until the end."""
+    async def _wait_until_idle(self, end_s: float) -> None:
+        """Wait until no request is under way, or until `end_s`."""
         loop = asyncio.get_running_loop()
-        quiet_looks = 0
-        while loop.time() < end_s and quiet_looks < LEAVE_QUIET_LOOKS:
-            quiet_looks = 0 if self._is_busy() else quiet_looks + 1
-            await asyncio.sleep(LEAVE_CHECK_S)
+        idle_checks = 0
+        while loop.time() < end_s and idle_checks < LEAVE_IDLE_CHECKS:
+            idle_checks = 0 if self._is_busy() else idle_checks + 1
+            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """End at once, without leaving."""
+        """End at once, without a graceful shutdown."""
         self._stop_tasks()
         for server in self._servers:
             server.close()
@@ -536,10 +542,11 @@
             task.cancel()
 
     def _is_busy(self) -> bool:
-        """Say whether anything is under way; close idle callers.
+        """Return whether any request is under way; close idle callers.
 
-        Idle connections of peers stay: a call that crosses their end would
-        be lost, while one that arrives is refused and not run.
+        Idle connections of peers stay open: a call sent while its connection
+        is closed would be lost, whereas a call that arrives is refused as not
+        run.
         """
         callers = [
             connection
@@ -568,13 +575,14 @@
     Parameters
     ----------
     identity, addresses, names, mesh_settings
-        See the classes.
+        See :class:`MeshIdentity`, :class:`Addresses`, :class:`HeaderNames` and
+        :class:`MeshSettings`.
     budget : RetryWindow
-        Of the whole fleet; the daemon takes its share.
+        Retry budget of the whole fleet; the daemon uses its share.
     source : MeshSource
-        Versions and members.
+        Provides versions, members and rollouts.
     mesh : str
-        Mesh whose bundles are accepted.
+        Name of the mesh whose bundles are accepted.
     """
     loop = asyncio.get_running_loop()
     now_s = loop.time
--- a/sedgering/mesh/_decisions.py
+++ b/sedgering/mesh/_decisions.py
@@ -1,4 +1,4 @@
-"""One log line a decision on a request, bounded, and the counters."""
+"""Logs and counts the decisions on requests, at a limited rate."""
 
 import logging
 
@@ -13,16 +13,17 @@
 
 
 class DecisionLog:
-    """Logs decisions on requests; plain successes are sampled.
+    """Logs decisions on requests; successful ones are sampled.
 
     Parameters
     ----------
     success_every : int
-        One in so many plain successes is logged.
+        One of this many successful requests is logged.
     lines_per_s : int
-        Most lines a second; more are counted, and the count is logged.
+        Limit of log lines a second. Excess lines are dropped, and their number
+        is logged with the next line.
     now_s : callable
-        Time of the event loop.
+        Returns the time of the event loop in seconds.
     """
 
     def __init__(self, success_every: int, lines_per_s: int, now_s):
@@ -32,8 +33,8 @@
         self.counts = observability.RequestCounts()
         self.dropped = 0
         self._successes = 0
-        self._balance = float(lines_per_s)
-        self._at_s = now_s()
+        self._tokens = float(lines_per_s)
+        self._refilled_s = now_s()
 
     def log_success(
         self,
@@ -45,7 +46,7 @@
         elapsed_ms: int,
         version: base.Version,
     ) -> None:
-        """Note an answer of a target that was passed on."""
+        """Log an answer of a target that was passed to the caller."""
         self.counts.count('answered', str(status))
         self.counts.observe(elapsed_ms / 1000)
         self._successes += 1
@@ -71,10 +72,10 @@
         answer: _messages.CallAnswer,
         fingerprint: base.Fingerprint | None,
     ) -> None:
-        """Note an attempt that brought no answer of a target.
+        """Log an attempt that got no answer of a target.
 
-        Repeats of a request have ids of their own; its fingerprint shows
-        which ones ended targets again and again.
+        Each retry of a request has its own id; the fingerprint identifies
+        requests that crash targets repeatedly.
         """
         self.counts.count('attempt', answer.reason.value)
         load = answer.load
@@ -96,7 +97,7 @@
         )
 
     def count_attempt(self, reason: _messages.RefusalReason) -> None:
-        """Count an attempt that is too usual for a line of its own."""
+        """Count an attempt that is too common to be logged."""
         self.counts.count('attempt', reason.value)
 
     def log_refusal(
@@ -113,10 +114,10 @@
         fingerprint: base.Fingerprint | None,
         key_head: str = '',
     ) -> None:
-        """Note an answer of the daemon's own.
+        """Log an error that the daemon itself answered.
 
-        Attempts that are still under way are told with where they are: what
-        they wait for is the cause of a request that ends late.
+        Attempts still under way are listed with their current state: what they
+        wait for is the cause of a request that ends late.
         """
         self.counts.count('refused', str(code))
         fields = {'key_head': key_head} if key_head else {}
@@ -145,7 +146,7 @@
         verdict: overload.Verdict,
         version: base.Version,
     ) -> None:
-        """Note a request that was refused before any host was asked."""
+        """Log a request that was refused before it was sent to any host."""
         self.counts.count('rejected', str(code))
         self._write(
             'request rejected at the source',
@@ -172,10 +173,10 @@
 
     def _may_write(self) -> bool:
         now_s = self.now_s()
-        earned = (now_s - self._at_s) * self.lines_per_s
-        self._at_s = now_s
-        self._balance = min(float(self.lines_per_s), self._balance + earned)
-        if self._balance < 1:
+        refill = (now_s - self._refilled_s) * self.lines_per_s
+        self._refilled_s = now_s
+        self._tokens = min(float(self.lines_per_s), self._tokens + refill)
+        if self._tokens < 1:
             return False
-        self._balance -= 1
+        self._tokens -= 1
         return True
--- a/sedgering/mesh/_follow.py
+++ b/sedgering/mesh/_follow.py
@@ -1,4 +1,4 @@
-"""Follows relays in place of the store, and goes back to it without them."""
+"""Polls relays instead of the store, and falls back to the store."""
 
 import asyncio
 import logging
@@ -19,56 +19,61 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Relays polled at the same time: news that one misses come by the other.
+#: Relays polled concurrently, so that the failure of one delays no update.
 RELAYS_FOLLOWED = 2
-#: Time beyond that of a poll after which its answer is taken as lost: a
-#: round trip takes 3 ms, a busy link adds some 200 ms.
+#: Time beyond that of a poll after which its answer counts as lost. A round
+#: trip takes 3 ms; a busy link adds about 200 ms.
 POLL_MARGIN_S = 0.4
-#: For how long a relay that failed is left out, at first and at most.
-FIRST_REST_S = 1.0
-LONGEST_REST_S = 8.0
-#: Between two looks at whether this daemon needs relays.
-LOOK_S = 0.25
-#: Hosts from which on each data centre has relays of its own.  Below, two
-#: serve all: polls between data centres take 1.2 kB/s a daemon, and a call to
-#: the store that is spared is dearer than a second of them.
+#: How long a failed relay is not polled, at first and at most.
+FIRST_BACKOFF_S = 1.0
+LONGEST_BACKOFF_S = 8.0
+#: Interval between checks of whether this daemon needs relays.
+CHECK_INTERVAL_S = 0.25
+#: Fleet size from which each data centre has its own relays. In smaller fleets
+#: two relays serve all: a poll between data centres costs 1.2 kB/s for each
+#: daemon, and one call to the store costs more than a second of polls.
 OWN_RELAYS_FROM_HOSTS = 32
-#: Time for which a daemon that starts leaves the store to relays that do not
-#: answer yet: as long as they take to start themselves, after a loss of power.
-START_S = 0.8
-#: Between two tries of a relay meanwhile.
-START_REST_S = 0.1
-#: Time for which the other relays are left alone meanwhile.
-WHOLE_STAGGER_S = 0.15
-#: Pause when news could not be used, before a whole version is asked for.
-REFUSED_PAUSE_S = 0.3
-
-
-class _Link:
-    """One of the relays that are polled.
+#: How long a starting daemon waits for relays that do not answer yet before it
+#: calls the store. Relays take as long to start themselves when all hosts
+#: restart after a power failure.
+START_WAIT_S = 0.8
+#: Interval between attempts to reach a relay during this time.
+START_RETRY_S = 0.1
+#: Delay of the polls of the other relays while the first one is asked for a
+#: full version.
+FULL_VERSION_STAGGER_S = 0.15
+#: Pause after a rejected difference, before a full version is requested.
+REJECTED_DIFFERENCE_PAUSE_S = 0.3
+
+
+class _RelaySlot:
+    """One of the concurrently polled relays.
 
     Attributes
     ----------
     host : str or None
-        The relay; None when there is none.
-    is_sound : bool
-        Whether its last answer came in time and it hears the store.
+        Host of the relay; None while none is assigned.
+    is_healthy : bool
+        Whether its last answer arrived in time and said that the relay is in
+        contact with the store.
     """
 
     def __init__(self):
         self.host: base.HostId | None = None
-        self.is_sound = False
+        self.is_healthy = False
 
 
-class _Near(msgspec.Struct):
-    """Members of the own data centre; of a small fleet, all of them.
+class _RelayCandidates(msgspec.Struct):
+    """Members that may relay to this daemon.
+
+    These are the members of its data centre, or all in a small fleet.
 
     Parameters
     ----------
     members : dict
-        Member table that they are of.
+        Member table from which they were selected.
     rows, relays : list of MemberRow
-        All of them, and those among them that are relays.
+        All these members, and those among them that are relays.
     """
 
     members: dict[base.HostId, _messages.MemberRow]
@@ -79,14 +84,14 @@
 def list_watching(
     members: dict[base.HostId, _messages.MemberRow], relay_from_hosts: int
 ) -> list[_messages.MemberRow]:
-    """Return the hosts that watch the store while all are well.
+    """Return the hosts that watch the store while no relay has failed.
 
     Parameters
     ----------
     members : dict
-        All hosts.
+        Rows of all hosts.
     relay_from_hosts : int
-        Hosts from which on a few watch the store for the others.
+        Fleet size from which a few hosts watch the store for the others.
     """
     if len(members) < relay_from_hosts:
         return list(members.values())
@@ -94,16 +99,16 @@
     relays = {
         relay.host: relay
         for centre in centres
-        for relay in _relay.choose_relays(_list_near(members, centre))
+        for relay in _relay.choose_relays(_list_candidates(members, centre))
     }
     return list(relays.values())
 
 
-def _list_near(
+def _list_candidates(
     members: dict[base.HostId, _messages.MemberRow],
     data_centre: base.DataCentre,
 ) -> list[_messages.MemberRow]:
-    """Return the members that share relays with those of a data centre."""
+    """Return the members that share relays with a data centre."""
     is_small = len(members) < OWN_RELAYS_FROM_HOSTS
     return [
         row
@@ -113,21 +118,21 @@
 
 
 class RelayFollower:
-    """Polls relays of its data centre, and decides who asks the store.
+    """Polls relays, and decides whether this daemon watches the store.
 
     A daemon watches the store itself in a small fleet, when it is a relay,
-    when others poll it, and when no relay answers.
+    when other daemons poll it, and when no relay answers.
 
     Parameters
     ----------
     identity : MeshIdentity
-        Who this daemon is.
+        Identity of this daemon.
     fleet : FleetTable
-        Hosts among which the relays are.
+        Hosts from which the relays are chosen.
     peers : PeerTable
-        Connections to them.
+        Connections to the hosts.
     source : MeshSource
-        Takes the news in.
+        Merges the updates of the relays.
 
     Attributes
     ----------
@@ -146,74 +151,76 @@
         self.fleet = fleet
         self.peers = peers
         self.source = source
-        self._links = [_Link() for _ in range(RELAYS_FOLLOWED)]
-        #: Relays that failed: how long the next rest is, and until when
-        #: the present one lasts.
-        self._rests: dict[base.HostId, float] = {}
-        self._rest_until_s: dict[base.HostId, float] = {}
+        self._slots = [_RelaySlot() for _ in range(RELAYS_FOLLOWED)]
+        #: Failed relays: the length of the next back-off, and the end of the
+        #: current one.
+        self._backoffs_s: dict[base.HostId, float] = {}
+        self._backoff_until_s: dict[base.HostId, float] = {}
         self.is_watching_store = True
-        #: Until then relays are awaited; None before the members are known.
+        #: End of the time in which relays may still be starting; None before
+        #: the members are known.
         self._start_until_s: float | None = None
         self._are_members_known = asyncio.Event()
         self._needs_whole = False
-        self._near = _Near({}, [], [])
+        self._candidates = _RelayCandidates({}, [], [])
         self._was_fresh = False
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Poll relays until cancelled."""
         await self._are_members_known.wait()
         async with asyncio.TaskGroup() as group:
-            for link in self._links:
-                group.create_task(self._follow(link))
-            group.create_task(self._look_again())
+            for slot in self._slots:
+                group.create_task(self._follow(slot))
+            group.create_task(self._check_periodically())
 
     @property
     def needs_relays(self) -> bool:
-        """Whether others should watch the store for this daemon."""
+        """Whether this daemon should poll relays instead of the store."""
         members = self.fleet.members
         if len(members) < self.peers.mesh_settings.relay_from_hosts:
             return False
-        relays = self._find_near().relays
+        relays = self._find_candidates().relays
         return all(row.host != self.identity.host for row in relays)
 
     def note_members_known(self) -> None:
-        """Begin to follow: the members are known, and the relays with them."""
+        """Start polling: the members, and so the relays, are known."""
         if self._start_until_s is None:
-            self._start_until_s = self.source.loop.time() + START_S
-            self._decide()
+            self._start_until_s = self.source.loop.time() + START_WAIT_S
+            self._choose_source()
             self._are_members_known.set()
 
     @property
     def _is_starting(self) -> bool:
-        """Whether relays that do not answer may do so in a moment."""
+        """Whether relays that do not answer may still be starting."""
         until_s = self._start_until_s
         return until_s is not None and self.source.loop.time() < until_s
 
-    async def _look_again(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            self._note_store_return()
-            self._decide()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self._note_store_recovery()
+            self._choose_source()
 
-    def _note_store_return(self) -> None:
-        """Ask the relays again once this daemon hears the store again.
+    def _note_store_recovery(self) -> None:
+        """Clear all back-offs when contact with the store returns.
 
-        They were given up since they did not; most hear it again, too, and
-        in a large fleet nobody should watch on in their place.
+        The relays were backed off because they had lost the store too. Most
+        regain it at the same time, and in a large fleet no other daemon should
+        go on watching in their place.
         """
         is_fresh = self.source.is_fresh
         if is_fresh and not self._was_fresh:
-            self._rests.clear()
-            self._rest_until_s.clear()
+            self._backoffs_s.clear()
+            self._backoff_until_s.clear()
         self._was_fresh = is_fresh
 
-    def _decide(self) -> None:
-        """Watch the store, or leave it to the relays."""
-        is_followed = self._is_starting or any(
-            link.is_sound for link in self._links
+    def _choose_source(self) -> None:
+        """Choose between watching the store and following relays."""
+        has_relay = self._is_starting or any(
+            slot.is_healthy for slot in self._slots
         )
         is_watching = (
-            self.source.is_polled or not is_followed or not self.needs_relays
+            self.source.is_polled or not has_relay or not self.needs_relays
         )
         if is_watching is not self.is_watching_store:
             self.is_watching_store = is_watching
@@ -221,48 +228,50 @@
                 'watching the store' if is_watching else 'following relays',
                 extra={
                     'detail': ', '.join(
-                        str(link.host) for link in self._links
+                        str(slot.host) for slot in self._slots
                     ),
                     'version': self.source.versions.version,
                 },
             )
         self.source.set_watching(is_watching)
 
-    async def _follow(self, link: _Link) -> None:
+    async def _follow(self, slot: _RelaySlot) -> None:
         while True:
             try:
-                await self._step(link)
+                await self._poll_or_wait(slot)
             except Exception:
-                # A defect must not end the task: the link would seem
-                # sound for good.
-                LOG.exception('relay link failed')
-                self._set_sound(link, False)
-                await asyncio.sleep(FIRST_REST_S)
-
-    async def _step(self, link: _Link) -> None:
-        """Poll once, or wait until that is needed."""
-        row = self._choose(link) if self.needs_relays else None
-        link.host = row.host if row else None
+                # An unexpected exception must not end the task: the relay
+                # would count as healthy forever.
+                LOG.exception('polling of a relay failed')
+                self._set_healthy(slot, False)
+                await asyncio.sleep(FIRST_BACKOFF_S)
+
+    async def _poll_or_wait(self, slot: _RelaySlot) -> None:
+        """Poll once, or wait if there is no relay to poll."""
+        row = self._choose_relay(slot) if self.needs_relays else None
+        slot.host = row.host if row else None
         if row is None:
-            self._set_sound(link, False)
-            await asyncio.sleep(START_REST_S if self._is_starting else LOOK_S)
+            self._set_healthy(slot, False)
+            await asyncio.sleep(
+                START_RETRY_S if self._is_starting else CHECK_INTERVAL_S
+            )
             return
         try:
-            news = await self._poll(link, row)
+            news = await self._poll(slot, row)
         except (
             exceptions.PeerError,
             transport.ConnectFailed,
             transport.ExchangeFailed,
             TimeoutError,
         ) as error:
-            self._give_up(link, row, repr(error))
+            self._back_off(slot, row, repr(error))
             return
-        await self._take(link, row, news)
+        await self._apply_news(slot, row, news)
 
     async def _poll(
-        self, link: _Link, row: _messages.MemberRow
+        self, slot: _RelaySlot, row: _messages.MemberRow
     ) -> _relay.RelayNews:
-        version = await self._find_version_to_tell(link)
+        version = await self._choose_base_version(slot)
         poll = _relay.RelayPoll(
             self.identity.host,
             version,
@@ -278,47 +287,51 @@
         peer.pool.put(connection)
         return _relay.decode_relay_news(response)
 
-    async def _find_version_to_tell(self, link: _Link) -> base.Version:
-        """Return the version held, from which news may start.
+    async def _choose_base_version(self, slot: _RelaySlot) -> base.Version:
+        """Return the version from which the relay may send differences.
 
-        A whole version is asked of one relay first: it takes 0.05 s of a
-        narrow link, and all daemons ask when all start.
+        A full version is requested from one relay first: its transfer takes
+        0.05 s on a slow link, and all daemons request it at once when the
+        whole fleet starts.
         """
-        if self._wants_whole and link is not self._links[0]:
-            await asyncio.sleep(WHOLE_STAGGER_S)
-        if self._wants_whole:
+        if self._needs_full_version and slot is not self._slots[0]:
+            await asyncio.sleep(FULL_VERSION_STAGGER_S)
+        if self._needs_full_version:
             return base.NO_VERSION
         return self.source.versions.version
 
     @property
-    def _wants_whole(self) -> bool:
-        """Whether differences lead nowhere."""
+    def _needs_full_version(self) -> bool:
+        """Whether a full version is needed instead of differences."""
         has_none = self.source.versions.version == base.NO_VERSION
         return self._needs_whole or has_none
 
-    async def _take(
-        self, link: _Link, row: _messages.MemberRow, news: _relay.RelayNews
+    async def _apply_news(
+        self,
+        slot: _RelaySlot,
+        row: _messages.MemberRow,
+        news: _relay.RelayNews,
     ) -> None:
         if news.members is not None:
             self.source.take_members(news.members)
         if news.rollouts is not None:
             self.source.take_rollouts(news.rollouts)
         if news.version is not None and not self._take_version(news):
-            await asyncio.sleep(REFUSED_PAUSE_S)
+            await asyncio.sleep(REJECTED_DIFFERENCE_PAUSE_S)
             return
         if not news.is_fresh:
-            self._give_up(link, row, 'does not hear the store')
+            self._back_off(slot, row, 'relay has lost the store')
             return
         if news.version is None:
             self.source.take_version(None, news.version_revision)
-        self.source.note_told()
-        self._rests.pop(row.host, None)
-        self._set_sound(link, True)
+        self.source.note_relay_contact()
+        self._backoffs_s.pop(row.host, None)
+        self._set_healthy(slot, True)
 
     def _take_version(self, news: _relay.RelayNews) -> bool:
         held = self.source.versions.newest
         if held is not None and held.version >= news.version.version:
-            # It came from the other relay or from the store meanwhile.
+            # The other relay or the store has provided it meanwhile.
             self._needs_whole = False
             return True
         try:
@@ -326,7 +339,7 @@
         except exceptions.BundleError as error:
             self._needs_whole = True
             LOG.info(
-                'difference refused',
+                'difference rejected',
                 extra={
                     'version': news.version.version,
                     'code': int(error.code),
@@ -338,65 +351,71 @@
         self.source.take_version(config, news.version_revision)
         return True
 
-    def _choose(self, link: _Link) -> _messages.MemberRow | None:
-        """Choose a relay that is neither left out nor polled already."""
+    def _choose_relay(self, slot: _RelaySlot) -> _messages.MemberRow | None:
+        """Choose a relay that is neither backed off nor already polled."""
         now_s = self.source.loop.time()
-        used = {other.host for other in self._links if other is not link}
-        # Whoever is polled watches the store: while all hosts start, that
-        # should be the relays alone.
-        ranked = self._rank_relays() if self._is_starting else self._rank()
+        used = {other.host for other in self._slots if other is not slot}
+        # A daemon that is polled watches the store. While all hosts start,
+        # only the relays should do so.
+        ranked = (
+            self._rank_relays() if self._is_starting else self._rank_hosts()
+        )
         for row in ranked:
-            rest_until_s = self._rest_until_s.get(row.host, 0.0)
-            if row.host not in used and now_s >= rest_until_s:
+            backoff_until_s = self._backoff_until_s.get(row.host, 0.0)
+            if row.host not in used and now_s >= backoff_until_s:
                 return row
         return None
 
-    def _rank(self) -> list[_messages.MemberRow]:
-        """Order hosts: relays first, then the others."""
-        near = self._find_near()
+    def _rank_hosts(self) -> list[_messages.MemberRow]:
+        """Rank hosts: relays first, then the others."""
+        candidates = self._find_candidates()
         own = self.identity.host
-        chosen = {row.host for row in near.relays}
+        chosen = {row.host for row in candidates.relays}
         others = [
             row
-            for row in near.rows
+            for row in candidates.rows
             if row.host not in chosen and row.host != own
         ]
         return self._rank_relays() + others
 
     def _rank_relays(self) -> list[_messages.MemberRow]:
-        """Order the relays in an order of this daemon's own."""
+        """Rank the relays; the order differs between daemons."""
         own = self.identity.host
-        relays = [row for row in self._find_near().relays if row.host != own]
+        relays = [
+            row for row in self._find_candidates().relays if row.host != own
+        ]
         return sorted(relays, key=lambda row: _relay.hash_text(own + row.host))
 
-    def _find_near(self) -> _Near:
-        """Return the members near by, worked out anew when any change."""
+    def _find_candidates(self) -> _RelayCandidates:
+        """Return the possible relays; recomputed when the members change."""
         members = self.fleet.members
-        if self._near.members is not members:
-            rows = _list_near(members, self.identity.data_centre)
-            self._near = _Near(members, rows, _relay.choose_relays(rows))
-        return self._near
+        if self._candidates.members is not members:
+            rows = _list_candidates(members, self.identity.data_centre)
+            self._candidates = _RelayCandidates(
+                members, rows, _relay.choose_relays(rows)
+            )
+        return self._candidates
 
-    def _give_up(
-        self, link: _Link, row: _messages.MemberRow, detail: str
+    def _back_off(
+        self, slot: _RelaySlot, row: _messages.MemberRow, detail: str
     ) -> None:
-        """Leave a relay out for a while."""
-        rest_s = START_REST_S
+        """Back off from a relay, for longer after each failure."""
+        backoff_s = START_RETRY_S
         if not self._is_starting:
-            rest_s = self._rests.get(row.host, FIRST_REST_S)
-            self._rests[row.host] = min(LONGEST_REST_S, 2 * rest_s)
-        self._rest_until_s[row.host] = self.source.loop.time() + rest_s
+            backoff_s = self._backoffs_s.get(row.host, FIRST_BACKOFF_S)
+            self._backoffs_s[row.host] = min(LONGEST_BACKOFF_S, 2 * backoff_s)
+        self._backoff_until_s[row.host] = self.source.loop.time() + backoff_s
         LOG.info(
-            'relay given up',
+            'relay backed off',
             extra={
                 'peer': row.host,
                 'detail': detail,
-                'wait_ms': int(rest_s * 1000),
+                'wait_ms': int(backoff_s * 1000),
             },
         )
-        self._set_sound(link, False)
+        self._set_healthy(slot, False)
 
-    def _set_sound(self, link: _Link, is_sound: bool) -> None:
-        if link.is_sound is not is_sound:
-            link.is_sound = is_sound
-            self._decide()
+    def _set_healthy(self, slot: _RelaySlot, is_healthy: bool) -> None:
+        if slot.is_healthy is not is_healthy:
+            slot.is_healthy = is_healthy
+            self._choose_source()
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -1,4 +1,4 @@
-"""Answers other daemons: calls for the target, polls, and notices."""
+"""Serves other daemons: calls, relay polls, quotas and notices."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,25 +24,26 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Limits between daemons; the caller's own limits were checked before.
+#: Limits between daemons are wide: the caller's limits have already been
+#: checked by the sending daemon.
 PEER_LIMITS = transport.CallerLimits(header_bytes=256 * 1024)
 
 
 class InboundService(transport.Service):
-    """Answers other daemons.
+    """Serves requests of other daemons.
 
     Parameters
     ----------
     side : TargetSide
-        Runs the calls.
+        Runs calls at the local target.
     note_version : callable
-        Told the version by which each call was routed.
+        Called with the version by which each call was routed.
     pause : PauseWatch
-        Tells how late a call is read.
+        Measures how late a call is read after a pause of the process.
     desk : RelayDesk
-        Answers polls.
+        Answers relay polls.
     quotas : WorkspaceQuotas
-        Answers daemons that ask for tokens.
+        Answers daemons that request quota tokens.
     """
 
     def __init__(
@@ -61,17 +62,17 @@
         self.quotas = quotas
 
     def find_limits(self) -> transport.CallerLimits:
-        """Return wide limits: the caller's were checked before."""
+        """Return the limits between daemons."""
         return PEER_LIMITS
 
     def begin(
         self, request: transport.Request
     ) -> Coroutine | transport.Response:
-        """Return the answer that waits for nothing, or what answers."""
+        """Return an immediate response, or a coroutine that answers."""
         if _relay.is_poll(request):
             return self.desk.answer(request)
         if not _hop.is_call(request):
-            return self._answer_at_once(request)
+            return self._answer_directly(request)
         try:
             call = _hop.decode_call(request)
         except _hop.HopError as error:
@@ -85,14 +86,16 @@
         return _hop.encode_answer(answer)
 
     async def answer(self, request: transport.Request) -> transport.Response:
-        """Run a call and tell how it ended, or answer a poll."""
-        begun = self.begin(request)
-        return begun if isinstance(begun, transport.Response) else await begun
+        """Return the response to any request of another daemon."""
+        result = self.begin(request)
+        return (
+            result if isinstance(result, transport.Response) else await result
+        )
 
-    def _answer_at_once(
+    def _answer_directly(
         self, request: transport.Request
     ) -> transport.Response:
-        """Answer what is neither a call nor a poll."""
+        """Answer requests other than calls and polls."""
         if _quota_hop.is_ask(request):
             return self.quotas.answer(request)
         if _hop.is_ping(request):
@@ -100,7 +103,7 @@
         if _notice.is_notice(request):
             return self._take_notice(request)
         if _evidence_hop.is_question(request):
-            return self._tell_evidence(request)
+            return self._answer_evidence_query(request)
         body_bytes = _room.find_room_bytes(request)
         if body_bytes is not None:
             return _hop.encode_answer(
@@ -110,11 +113,13 @@
 
     @staticmethod
     def _refuse_unreadable(error: _hop.HopError) -> transport.Response:
-        LOG.warning('call refused', extra={'detail': str(error)})
+        LOG.warning(
+            'unreadable message from a peer', extra={'detail': str(error)}
+        )
         return transport.make_json_response(400, {'error': str(error)})
 
     async def _run(self, call: _messages.TargetCall) -> transport.Response:
-        """Run a call and tell how it ended."""
+        """Run a call and encode its result."""
         self.note_version(call.version)
         self.side.room.note_arrival(len(call.request.body))
         if self.pause.find_lag_s():
@@ -132,12 +137,17 @@
             )
         return _hop.encode_answer(answer)
 
-    def _tell_evidence(self, request: transport.Request) -> transport.Response:
-        """Tell what the local target has shown of its version."""
+    def _answer_evidence_query(
+        self, request: transport.Request
+    ) -> transport.Response:
+        """Return the trial evidence on the version of the local target."""
         try:
             order_revision = _evidence_hop.decode_question(request)
         except ValueError as error:
-            LOG.warning('question refused', extra={'detail': str(error)})
+            LOG.warning(
+                'unreadable evidence query from a peer',
+                extra={'detail': str(error)},
+            )
             return transport.make_json_response(400, {'error': str(error)})
         return _evidence_hop.encode_evidence(
             self.side.version_trial.find_evidence(
@@ -146,11 +156,14 @@
         )
 
     def _take_notice(self, request: transport.Request) -> transport.Response:
-        """Take in that a target beside another daemon has ended."""
+        """Record the crash of the target of another daemon."""
         try:
             record = _notice.decode_notice(request)
         except msgspec.DecodeError as error:
-            LOG.warning('notice refused', extra={'detail': str(error)})
+            LOG.warning(
+                'unreadable crash notice from a peer',
+                extra={'detail': str(error)},
+            )
             return transport.make_json_response(400, {'error': str(error)})
         self.side.crashes.take_record(record)
         return transport.Response(200, [])
--- a/sedgering/mesh/_members.py
+++ b/sedgering/mesh/_members.py
@@ -1,4 +1,4 @@
-"""The member rows with their revisions, mergeable from several sources."""
+"""Member rows with their revisions, merged from several sources."""
 
 import msgspec
 
@@ -8,21 +8,22 @@
 
 __all__ = ['MemberEntry', 'MemberLog', 'MemberNews', 'decode_row']
 
-#: Removals remembered.  Whoever lags behind more of them gets all rows.
+#: Number of removals that are kept. A daemon that lags behind by more of them
+#: gets all rows.
 REMOVALS_LIMIT = 256
 
 
 class MemberEntry(msgspec.Struct, frozen=True, array_like=True):
-    """The row of one host at one revision of the store.
+    """Row of one host at one revision of the store.
 
     Parameters
     ----------
     host : str
         Key of the row.
     revision : int
-        Counter of the store at which it was written or removed.
+        Revision of the store at which it was written or removed.
     row : MemberRow or None
-        None when it was removed.
+        None when the row was removed or is invalid.
     """
 
     host: base.HostId
@@ -31,16 +32,16 @@
 
 
 class MemberNews(msgspec.Struct, frozen=True, array_like=True):
-    """Rows as of one revision of the store.
+    """An update of member rows, as of one revision of the store.
 
     Parameters
     ----------
     entries : tuple of MemberEntry
-        Those that changed, or all.
+        The changed rows, or all rows.
     revision : int
-        Counter of the store up to which they are known.
+        Revision of the store up to which all changes are contained.
     is_complete : bool
-        Whether hosts that are not among them have no row.
+        Whether hosts that are not listed have no row.
     """
 
     entries: tuple[MemberEntry, ...]
@@ -56,12 +57,12 @@
     host : str
         Key of the row.
     value : bytes
-        As the store has it; another writer may have written it.
+        Stored value; it may come from another writer.
 
     Raises
     ------
     MemberError
-        When it names no target that could be used.
+        When it cannot be decoded, or names another host.
     """
     code = exceptions.Code.MEMBER_UNREADABLE
     try:
@@ -69,32 +70,34 @@
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise exceptions.MemberError(code, str(error)) from error
     if row.host != host:
-        raise exceptions.MemberError(code, f'names the host {row.host!r}')
+        raise exceptions.MemberError(
+            code, f'row names another host: {row.host!r}'
+        )
     return row
 
 
 class MemberLog:
     """Member rows, merged by revision.
 
-    News come from the store or from another daemon, in any order and more
-    than once.  Each covers all changes from a revision that was known here
-    to a later one, so that news of a source that lags behind undo nothing.
+    Updates come from the store or from other daemons, in any order and more
+    than once. Each covers all changes from a revision that was known here up
+    to a later one, so that an update of an outdated source reverts nothing.
     """
 
     def __init__(self):
         self.revision = 0
         self._entries: dict[base.HostId, MemberEntry] = {}
-        #: Revision since which every removal is among the entries.
+        #: Revision since which all removals are kept in the entries.
         self._removals_since = 0
 
     def merge(self, news: MemberNews) -> bool:
-        """Take in rows; say whether any was new."""
+        """Merge an update; return whether any row changed."""
         if news.revision <= self.revision:
             return False
         is_changed = False
         for entry in news.entries:
-            old = self._entries.get(entry.host)
-            if entry.revision > (old.revision if old else self.revision):
+            known = self._entries.get(entry.host)
+            if entry.revision > (known.revision if known else self.revision):
                 self._entries[entry.host] = entry
                 is_changed = True
         if news.is_complete:
@@ -104,7 +107,7 @@
         return is_changed
 
     def find_news(self, revision: int) -> MemberNews:
-        """Return what somebody needs who knows all up to a revision."""
+        """Return the update for a daemon that knows all up to a revision."""
         is_complete = revision < self._removals_since
         entries = (
             entry
@@ -118,14 +121,14 @@
         return MemberNews(tuple(entries), self.revision, is_complete)
 
     def find_entry(self, host: base.HostId) -> MemberEntry:
-        """Return the entry of a host; at revision 0 when it has no row."""
+        """Return the entry of a host; at revision 0 if it has no row."""
         entry = self._entries.get(host)
         if entry is None or entry.row is None:
             return MemberEntry(host, 0, None)
         return entry
 
     def list_members(self) -> dict[base.HostId, _messages.MemberRow]:
-        """Return the rows that are there, those written last at the end."""
+        """Return the present rows, the most recently written last."""
         entries = sorted(
             self._entries.values(), key=lambda entry: entry.revision
         )
@@ -134,26 +137,27 @@
         }
 
     def _remove_others(self, news: MemberNews) -> bool:
-        """Remove the hosts that a complete list leaves out.
+        """Remove the hosts that are missing from a complete list.
 
-        They were removed since the last list, so that others who know that
-        one need no complete list: with the history of the store gone, each
-        reading of a relay sent all 88 rows to all who follow it.
+        They are recorded as removed since the previous list, so that daemons
+        which know that list need no complete one. Without these records, after
+        the store had dropped its history, each read of a relay sent all 88
+        rows to all its followers.
         """
-        named = {entry.host for entry in news.entries}
-        gone = [
+        listed = {entry.host for entry in news.entries}
+        missing = [
             host
             for host, entry in self._entries.items()
-            if host not in named and entry.row is not None
+            if host not in listed and entry.row is not None
         ]
-        for host in gone:
+        for host in missing:
             self._entries[host] = MemberEntry(host, news.revision, None)
         if not self.revision:
             self._removals_since = news.revision
-        return bool(gone)
+        return bool(missing)
 
     def _forget_removals(self) -> None:
-        """Keep the newest removals only."""
+        """Drop the oldest removals above `REMOVALS_LIMIT`."""
         removals = [
             entry for entry in self._entries.values() if entry.row is None
         ]
--- a/sedgering/mesh/_messages.py
+++ b/sedgering/mesh/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the request path."""
+"""Data types of the request path, and of what daemons exchange."""
 
 import enum
 from typing import Annotated
@@ -28,48 +28,48 @@
     'UNKNOWN_BORN_MS',
 ]
 
-#: Of a request that no route matches, and of reports that belong to no call.
+#: Route of a request that matches none, and of reports without a call.
 NO_ROUTE = base.RouteName('')
-#: Start of a target that does not tell it.
+#: Start time of a target that does not report one.
 UNKNOWN_BORN_MS = 0
 
-_OCTET = '(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])'
-#: An IP number: any other address would be looked up by name.
+_IPV4_OCTET = '(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])'
+#: An IPv4 address: any other value would be resolved by name.
 _Address = Annotated[
-    str, msgspec.Meta(pattern=rf'^({_OCTET}\.){{3}}{_OCTET}\Z')
+    str, msgspec.Meta(pattern=rf'^({_IPV4_OCTET}\.){{3}}{_IPV4_OCTET}\Z')
 ]
 _Port = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
-#: Names become header fields between daemons, where "|" separates them.
-_PATTERN = msgspec.Meta(pattern=r'^[!-{}~]{1,200}\Z')
-_Target = Annotated[base.TargetName, _PATTERN]
+#: Names are sent in header fields between daemons, where "|" separates them.
+_HEADER_SAFE = msgspec.Meta(pattern=r'^[!-{}~]{1,200}\Z')
+_Target = Annotated[base.TargetName, _HEADER_SAFE]
 _SoftwareVersion = Annotated[
     base.SoftwareVersion, msgspec.Meta(max_length=200)
 ]
-_TargetSet = Annotated[base.TargetSetName, _PATTERN]
+_TargetSet = Annotated[base.TargetSetName, _HEADER_SAFE]
 
 
 class TargetState(enum.Enum):
-    """What a target says of itself."""
+    """State of a target."""
 
     READY = 'ready'
-    #: It still works, but takes no new work.
+    #: It finishes its requests, but takes no new ones.
     DRAINING = 'draining'
-    #: It has said that it is leaving, and says nothing more.
+    #: It has deregistered and sends no more reports.
     GONE = 'gone'
-    #: It has ended without a word; its next lifetime, or its next report,
-    #: opens it again.  Daemons of the version before take the row of such a
-    #: target as unreadable, and send nothing there.
+    #: It has ended without deregistering. Its next lifetime, or its next
+    #: report, makes it available again. Daemons of the previous release cannot
+    #: decode the row of such a target, and send nothing there.
     DOWN = 'down'
 
 
 class CallOutcome(enum.Enum):
-    """What is known of a call to a target."""
+    """What is known about the execution of a call to a target."""
 
-    #: The target answered, be it with a failure of its own.
+    #: The target answered, possibly with an error of its own.
     ANSWERED = 'answered'
-    #: It is proven that no work was done.
+    #: The target has certainly not begun to work on it.
     NOT_RUN = 'not run'
-    #: It may have run, and no whole answer came.
+    #: It may have run, but no complete answer arrived.
     UNKNOWN = 'unknown'
 
 
@@ -79,71 +79,73 @@
     NONE = ''
     #: The host cannot be reached.
     UNREACHABLE = 'unreachable'
-    #: Another target, or none, is beside that daemon.
+    #: The host of that daemon runs another target, or none.
     WRONG_TARGET = 'wrong target'
-    #: The daemon knows no target that listens: it has just started, or its
-    #: target has ended.
+    #: The daemon knows no listening target: it has just started, or its target
+    #: has ended.
     TARGET_UNKNOWN = 'target unknown'
     #: The target or its host is leaving.
     LEAVING = 'leaving'
-    #: It could not have finished in time.
+    #: The call could not have finished in time.
     SHED = 'shed'
-    #: All places are taken, and the call was only to have a free one.
+    #: All slots are taken, and the call may not wait for one.
     BUSY = 'busy'
-    #: Too many bodies are on their way to the host.
+    #: Too many request bodies are in transfer to the host.
     LINK_FULL = 'link full'
-    #: The target itself refused before work.
+    #: The target itself refused the call before any work.
     TARGET_REFUSED = 'target refused'
-    #: The connection ended without a whole answer.
+    #: The connection ended without a complete answer.
     CONNECTION_LOST = 'connection lost'
-    #: The answer was not the target's, or was damaged.
+    #: The answer was corrupted, or did not come from the target.
     DAMAGED = 'damaged answer'
     #: The deadline passed.
     DEADLINE = 'deadline'
-    #: Targets have ended under the request: it may run at one place only.
+    #: Targets have crashed while the request ran: it may run on one target
+    #: only.
     SUSPECTED = 'suspected'
-    #: It has ended so many targets that it is not begun.
+    #: It has crashed so many targets that it is not run again.
     QUARANTINED = 'quarantined'
 
 
 class CallUrgency(enum.IntEnum):
-    """Who waits for a call; smaller values are served first."""
+    """Who waits for a call; lower values are served first."""
 
-    #: A target that works on a request: its slot is held meanwhile, and
-    #: its work is lost if the call fails.
+    #: A target that works on a request: its slot is held meanwhile, and its
+    #: work is lost if the call fails.
     TARGET = 0
-    #: A caller that asks for the first time, and may be served in time.
+    #: A caller whose first attempt this is, and that may be served in time.
     FIRST = 1
-    #: A caller that seems to have been refused before.  Its goal counts from
-    #: its first try, so that it mostly is late: served first, it would make
-    #: those late that could still be in time.
+    #: A caller that has probably been refused before. Its latency goal counts
+    #: from its first attempt, so that it is mostly late: if served first, it
+    #: would delay calls that can still be in time.
     RETURN = 2
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
-    """Names of the header fields that are shared with callers and targets.
+    """Names of the header fields shared with callers and targets.
 
     Parameters
     ----------
     request_id : str
-        Id of one attempt of the caller; echoed in answers.
+        Id of one attempt of the caller; returned in answers.
     deadline_ms : str
         Time for which the sender waits, in milliseconds.
     proof : str
-        Set by a target on each answer that is its own.
+        Set by a target on each answer, as proof that it comes from there.
     expected_target : str
         Id of the only target that may run the request.
     origin : str
-        Target set of the host on which the request began.
+        Target set of the host on which the request originated.
     not_run : str
-        Set by a target on a refusal before any work.
+        Set by a target when it refuses a request before any work.
     target : str
         Id of the target that answers.
     load : str
-        Calls that run and that wait, and slots, in answers of targets; some
-        add how long work takes at the moment, in percent of the usual time.
+        Running calls, waiting calls and slots, in answers of targets. Some
+        targets add how long work currently takes, in percent of the usual
+        time.
     workspace : str
-        Name of the workspace that asks, for the target.
+        Name of the workspace that sends the request, for the target.
     key_scheme : str
         Scheme of the authorization field that carries a workspace's key.
     """
@@ -161,16 +163,16 @@
 
 
 class MeshIdentity(msgspec.Struct, frozen=True):
-    """Who this daemon is.
+    """Identity of a daemon.
 
     Parameters
     ----------
     host, data_centre
-        Of this daemon.
+        Host and data centre of the daemon.
     target_set : str
-        Of the target beside it.
+        Target set of the target on the same host.
     link_mbps : float
-        Width of the link of its host; 0 when it is not known.
+        Bandwidth of the link of its host in Mbit/s; 0 when unknown.
     """
 
     host: base.HostId
@@ -180,17 +182,17 @@
 
 
 class Addresses(msgspec.Struct, frozen=True):
-    """Where this daemon listens, and where its target does.
+    """Listening addresses of a daemon and of its target.
 
     Parameters
     ----------
     address : str
-        IP number of the host.
+        IP address of the host.
     callers_port, readiness_port, reports_port, peers_port : int
-        Ports for callers of this host, for questions of readiness, for
-        reports of the local target, and for other daemons.
+        Ports for callers of this host, for readiness checks, for reports of
+        the local target, and for other daemons.
     target_address, target_port
-        Of the local target.
+        Address and port of the local target.
     """
 
     address: str
@@ -205,22 +207,22 @@
 class Lifetime(msgspec.Struct, frozen=True):
     """One run of a target, from its start to its end.
 
-    A target that starts again may keep its id; then only the moment of its
-    start tells the two runs apart.
+    A restarted target may keep its id; then only the start time distinguishes
+    the two runs.
 
     Parameters
     ----------
     target : str
         Id of the target.
     born_ms : int
-        Unix time of its start; 0 when it does not tell it.
+        Unix time of its start in milliseconds; 0 when unknown.
     """
 
     target: base.TargetName
     born_ms: int = UNKNOWN_BORN_MS
 
     def is_before(self, other: 'Lifetime') -> bool:
-        """Whether the same target is known to have started again since."""
+        """Whether `other` is a later run of the same target."""
         return (
             self.target == other.target
             and self.born_ms != UNKNOWN_BORN_MS
@@ -229,26 +231,27 @@
 
 
 class TargetReport(msgspec.Struct, frozen=True):
-    """What the local target says of itself.
+    """Report of the local target on its own state.
 
     Parameters
     ----------
     target : str
         Id of the target.
     target_set : str
-        What it belongs to.
+        Target set to which it belongs.
     slots : int
-        Requests that it works on at a time.
+        Number of requests that it can process concurrently.
     state : TargetState
         Ready or draining.
     cold_ms : int
-        For how much longer it is slow after its start.
+        How much longer it is slow after its start, in milliseconds.
     sequence : int
-        Grows with each report of one lifetime.
+        Increases with each report of one lifetime.
     born_ms : int
-        Unix time of the start of this lifetime; 0 when it is not told.
+        Unix time of the start of this lifetime in milliseconds; 0 when
+        unknown.
     version : str
-        Of its software; empty when it is not told.
+        Version of its software; empty when unknown.
     """
 
     target: base.TargetName
@@ -262,29 +265,30 @@
 
     @property
     def lifetime(self) -> Lifetime:
-        """Lifetime that reports."""
+        """Lifetime of the target that sent the report."""
         return Lifetime(self.target, self.born_ms)
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """A host and its target, as other daemons find them.
+    """Row of a host and its target, as other daemons read it.
 
     Parameters
     ----------
     host, data_centre, address, port
-        Of the daemon.
+        Location of the daemon.
     target_set, target, slots, state
-        Of the target beside it.
+        Last report of the target on the same host.
     cold_ms : int
-        For how long the target was still cold when the row was written.
+        How much longer the target was slow after its start when the row was
+        written, in milliseconds.
     link_mbps : int
-        Width of the link of the host; 0 when it is not known.
+        Bandwidth of the link of the host in Mbit/s; 0 when unknown.
     born_ms : int
-        Unix time of the start of the target; 0 when it is not told.
+        Unix time of the start of the target in milliseconds; 0 when unknown.
     crashes : tuple of CrashRecord
-        The last ends of targets beside the daemon.
+        The last crashes of targets on the host.
     version : str
-        Of the software of the target; empty when it is not told.
+        Version of the software of the target; empty when unknown.
     """
 
     host: base.HostId
@@ -311,31 +315,32 @@
 
 
 class LoadReport(msgspec.Struct):
-    """What a gate tells of itself with each answer.
+    """Load of a gate, sent with each answer.
 
     Parameters
     ----------
     running, waiting, limit : int
-        Calls at the target, calls that wait, and most calls at a time.
+        Calls running at the target, calls waiting, and the limit of concurrent
+        calls.
     work_ms : int
-        Recent mean time at the target.
+        Recent mean processing time at the target in milliseconds.
     route_work_ms : int
-        The same for the route of the call that is answered; 0 when the
-        route has not been seen there.
+        The same for the route of the answered call; 0 when the gate has not
+        yet seen the route.
     link_percent : int
-        Share of the link of the host that incoming bytes take.
+        Share of the host's link that incoming bytes use.
     waiting_nested : int
-        Of the calls that wait, those of targets, which go first.
+        Waiting calls that were sent by targets; they are served first.
     answer_wait_ms : int
-        Time for which a large answer would wait for the link.
+        Time in milliseconds for which a large answer would wait for the link.
     failed_percent : int
-        Share of recent calls that the target failed or refused.
+        Share of recent calls that failed at the target or were refused by it.
     slowness_percent : int
-        How long work takes at the target at this moment, in percent of the
-        usual time; 0 when it does not tell.
+        How long work currently takes at the target, in percent of the usual
+        time; 0 when unknown.
     demand_percent : int
-        Work of the calls in time that the gate is asked to run, admitted or
-        not, in percent of what its places can do; 0 when it is not told.
+        Demand on the gate, in percent of the capacity of its slots: the work
+        of all calls that could end in time, admitted or not; 0 when unknown.
     """
 
     running: int
@@ -352,44 +357,48 @@
 
 
 class TargetCall(msgspec.Struct):
-    """A request on its way to the daemon of a chosen target.
+    """A request that is sent to the daemon of a chosen target.
 
     Parameters
     ----------
     request : Request
-        As the caller sent it.
+        Request as the caller sent it.
     request_id : str
-        Of the caller's attempt.
+        Id of the caller's attempt.
     target_set, target
-        Where it is to run.
+        Where it is to be run.
     route : str
-        Route that it matched; work times are kept by route.
+        Route that it matched; processing times are kept for each route.
     origin : str
-        Target set of the host on which it began.
+        Target set of the host on which it originated.
     priority : int
         0 is served first.
     is_repeatable : bool
         Whether it may run more than once.
     urgency : CallUrgency
-        Who waits for it.
+        Who waits for the call.
     remaining_ms, goal_ms : int
-        Time left until its deadline, and until its latency goal.
+        Time left until its deadline and until its latency goal, in
+        milliseconds.
     version : int
-        Bundle version by which it was routed.
+        Bundle version used to route it.
     may_wait : bool
-        Whether it may wait for a place; else it is refused as busy where
-        none is free, with the time for which it would have waited.
+        Whether it may wait for a slot. If not, and none is free, it is refused
+        as busy, with the time for which it would have waited.
     is_trial : bool
-        Whether its sender takes this target for the one place where it may
-        run as a suspect; at the gate whether it runs as one.
+        At the sender, whether this target is the only one on which the
+        suspected request may run; at the gate, whether it runs as a suspect.
     crashes : tuple of CrashEvidence
-        Ends of targets under the request, as its sender knows them.
+        Crashes of targets while the request ran, as known to its sender.
     forgiven : tuple of CrashId
-        Those that came before a target answered it.
+        Those of the crashes that no longer count, since a target has answered
+        the request after them.
     workspace : str
-        That asks; empty for calls of targets and on public routes.
+        Workspace that sends the request; empty for calls of targets and on
+        public routes.
     workspace_priority : int
-        Its rank, before `priority`; 0 is served first.
+        Priority of the workspace, which precedes `priority`; 0 is served
+        first.
     """
 
     request: transport.Request
@@ -413,28 +422,29 @@
 
 
 class CallAnswer(msgspec.Struct):
-    """How a call to a target ended.
+    """Result of a call to a target.
 
     Parameters
     ----------
     outcome : CallOutcome
-        What is known.
+        What is known about its execution.
     response : Response or None
-        The target's answer.
+        Answer of the target.
     reason : RefusalReason
-        Why there is none.
+        Why there is no answer.
     retry_after_ms : int
-        When a refused call may be tried again; 0 when nothing is known.
+        Time after which a refused call may be retried, in milliseconds; 0 when
+        unknown.
     load : LoadReport or None
-        Of the gate that answered.
+        Load of the gate that answered.
     reached_target : bool
-        Whether the request arrived at the target.
+        Whether the request reached the target.
     member : MemberRow or None
-        The row that holds now, with a refusal as the wrong target.
+        Current row of the host, with a refusal for the wrong target.
     detail : str
-        For logs.
+        Explanation for logs.
     crashes : tuple of CrashEvidence
-        Ends of targets under the request, which speak against it.
+        Crashes of targets while the request ran; they make it suspect.
     """
 
     outcome: CallOutcome
--- a/sedgering/mesh/_peer_answers.py
+++ b/sedgering/mesh/_peer_answers.py
@@ -1,4 +1,4 @@
-"""Answers of other daemons that are not answers to calls."""
+"""Decodes responses of other daemons that are not answers to calls."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -18,19 +18,19 @@
 def decode_peer_answer(
     response: transport.Response, decode: Callable[[bytes], _Content]
 ) -> _Content:
-    """Decode what another daemon answers.
+    """Decode a response of another daemon.
 
     Parameters
     ----------
     response : Response
-        Of the other daemon.
+        Response of the other daemon.
     decode : callable
         Decodes its body.
 
     Raises
     ------
     PeerError
-        When it is a refusal, or cannot be read.
+        When it is a refusal, or its body cannot be decoded.
     """
     try:
         if response.status != STATUS_OK:
--- a/sedgering/mesh/_relay.py
+++ b/sedgering/mesh/_relay.py
@@ -1,8 +1,8 @@
-"""News of versions and members that daemons pass on to each other.
+"""Relays: daemons that pass updates from the store on to others.
 
-Watching the store costs each daemon calls, and each version its whole
-document.  In a large fleet a few daemons of each data centre watch it, and
-the others poll them: a poll is held until there is news, which is a
+Each daemon that watches the store makes calls, and reads the whole document
+for each version. In a large fleet a few daemons of each data centre watch it,
+and the others poll them. A poll is held until there is an update, such as the
 difference between two versions.
 """
 
@@ -38,17 +38,18 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Longest time for which a poll is held: a daemon that falls silent is
-#: noticed a little later, well within the 2 s in which a version must be
-#: in force.
+#: Longest time for which a poll is held. A daemon that stops answering is
+#: detected a little later, well within the 2 s in which a version must be in
+#: force.
 POLL_WAIT_S = 1.0
-#: Between two looks at whether the own watch of the store is still sound.
-LOOK_S = 0.2
-#: Daemons that one relay serves.  Each polls two relays once a second, at
-#: some 0.3 ms of processor time a poll.
+#: Interval between checks of whether this daemon is still in contact with the
+#: store.
+CHECK_INTERVAL_S = 0.2
+#: Daemons that one relay serves. Each polls two relays once a second; a poll
+#: takes about 0.3 ms of processor time.
 FOLLOWERS_PER_RELAY = 32
-#: Two relays at least, so that the loss of one delays nothing.
-LEAST_RELAYS = 2
+#: At least two relays, so that the failure of one delays no update.
+MIN_RELAYS = 2
 
 PATH = '/relay'
 MARK = 'sedgering-relay'
@@ -57,19 +58,19 @@
 
 
 class RelayPoll(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender of a poll knows.
+    """State of the sender of a poll.
 
     Parameters
     ----------
     host : str
-        The sender.
+        Host of the sender.
     version : int
-        Version held; 0 asks for a whole one.
+        Version that the sender holds; 0 requests a full one.
     member_revision : int
-        Counter of the store up to which it knows the member rows.
+        Revision of the store up to which it knows the member rows.
     rollouts : dict of str to int or None
-        Revisions of the orders and rollouts that it knows; None when it has
-        not been told of any, or that there are none.
+        Revisions of the orders and rollouts that it knows; None when it does
+        not even know whether there are any.
     """
 
     host: base.HostId
@@ -84,15 +85,16 @@
     Parameters
     ----------
     is_fresh : bool
-        Whether the relay hears the store.
+        Whether the relay is in contact with the store.
     version_revision : int
-        Counter of the store up to which there is no newer version.
+        Revision of the store up to which there is no newer version.
     version : VersionNews or None
-        None when the sender holds the newest.
+        None when the sender of the poll holds the newest version.
     members : MemberNews or None
-        Without entries when only the counter has grown.
+        Without entries when only the revision has grown.
     rollouts : RolloutNews or None
-        None when the sender knows all of them, or the relay does not.
+        None when the sender of the poll knows all of them, or the relay does
+        not.
     """
 
     is_fresh: bool
@@ -102,26 +104,26 @@
     rollouts: _rollout_log.RolloutNews | None = None
 
 
-class _LooseMembers(msgspec.Struct, array_like=True):
-    """Member rows of which some may be strange; see `MemberNews`."""
+class _RawMembers(msgspec.Struct, array_like=True):
+    """Member rows that may be invalid; see `MemberNews`."""
 
     entries: tuple[msgspec.Raw, ...]
     revision: int
     is_complete: bool
 
 
-class _LooseNews(msgspec.Struct, array_like=True):
-    """News of which some member rows may be strange; see `RelayNews`."""
+class _RawNews(msgspec.Struct, array_like=True):
+    """An update whose member rows may be invalid; see `RelayNews`."""
 
     is_fresh: bool
     version_revision: int
     version: _versions.VersionNews | None
-    members: _LooseMembers | None
+    members: _RawMembers | None
     rollouts: _rollout_log.RolloutNews | None = None
 
 
-class _EntryHead(msgspec.Struct, array_like=True):
-    """What a strange entry must tell at least; see `MemberEntry`."""
+class _EntryKey(msgspec.Struct, array_like=True):
+    """Host and revision of an entry with an invalid row; see `MemberEntry`."""
 
     host: base.HostId
     revision: int
@@ -134,25 +136,25 @@
 def choose_relays(
     members: list[_messages.MemberRow],
 ) -> list[_messages.MemberRow]:
-    """Choose the relays among the members of one data centre.
+    """Choose the relays among a group of members.
 
-    Those with the widest links come first: a version is read from the
-    store over them.
+    Hosts with the fastest links come first: a relay reads each version from
+    the store over its link.
 
     Returns
     -------
     list of MemberRow
-        In an order that all daemons with the same members agree on.
+        Relays, in the same order in all daemons that know these members.
     """
-    count = max(LEAST_RELAYS, math.ceil(len(members) / FOLLOWERS_PER_RELAY))
-    ranked = sorted(
+    count = max(MIN_RELAYS, math.ceil(len(members) / FOLLOWERS_PER_RELAY))
+    candidates = sorted(
         members, key=lambda row: (-row.link_mbps, hash_text(row.host))
     )
-    return ranked[:count]
+    return candidates[:count]
 
 
 def hash_text(text: str) -> int:
-    """Return a number that is the same for a text in all processes."""
+    """Return a hash of a text that is the same in all processes."""
     return zlib.crc32(text.encode())
 
 
@@ -172,7 +174,7 @@
 
 
 def is_poll(request: transport.Request) -> bool:
-    """Say whether another daemon polls."""
+    """Return whether a request is a poll of another daemon."""
     return request.find(MARK) is not None
 
 
@@ -182,7 +184,7 @@
     Raises
     ------
     PeerError
-        When it is none.
+        When the response is a refusal or cannot be decoded.
     """
     return _peer_answers.decode_peer_answer(response, _decode_news)
 
@@ -191,11 +193,11 @@
     try:
         return _NEWS_DECODER.decode(body)
     except msgspec.ValidationError as error:
-        news = msgspec.msgpack.decode(body, type=_LooseNews)
+        news = msgspec.msgpack.decode(body, type=_RawNews)
         if news.members is None:
             raise
         LOG.warning(
-            'strange rows of a relay',
+            'invalid member rows from a relay',
             extra={
                 'code': int(exceptions.Code.MEMBER_UNREADABLE),
                 'detail': str(error),
@@ -217,16 +219,16 @@
 
 
 def _decode_entry(data: bytes) -> _members.MemberEntry | None:
-    """Decode one entry; a strange row names no target."""
+    """Decode one entry; an invalid row becomes None."""
     try:
         return msgspec.msgpack.decode(data, type=_members.MemberEntry)
     except msgspec.ValidationError:
         pass
     try:
-        head = msgspec.msgpack.decode(data, type=_EntryHead)
+        key = msgspec.msgpack.decode(data, type=_EntryKey)
     except msgspec.ValidationError:
         return None
-    return _members.MemberEntry(head.host, head.revision, None)
+    return _members.MemberEntry(key.host, key.revision, None)
 
 
 class RelayDesk:
@@ -235,27 +237,27 @@
     Parameters
     ----------
     source : MeshSource
-        Whose versions and members are told.
+        Provides the versions, members and rollouts to pass on.
     """
 
     def __init__(self, source: _source.MeshSource):
         self.source = source
-        #: That are held now.
+        #: Number of polls that are currently held.
         self.polls = 0
         self._was_trusted = False
-        self._look_timer: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
 
     async def answer(self, request: transport.Request) -> transport.Response:
-        """Answer a poll once there is news, or after a while."""
+        """Answer a poll once there is an update, or after `POLL_WAIT_S`."""
         try:
             poll = _POLL_DECODER.decode(request.body)
         except (msgspec.DecodeError, RecursionError) as error:
             return transport.make_json_response(400, {'error': str(error)})
         self.source.note_poll()
         self.polls += 1
-        if self._look_timer is None:
+        if self._check_timer is None:
             self._was_trusted = self.source.is_trusted
-            self._plan_look()
+            self._schedule_check()
         try:
             news = await self._wait_for_news(poll)
         finally:
@@ -268,26 +270,28 @@
         was_fresh = self.source.is_trusted
         while True:
             news = self._find_news(poll)
-            left_s = end_s - loop.time()
-            is_lost = was_fresh and not news.is_fresh
-            if _has_content(news) or is_lost or left_s <= 0:
+            remaining_s = end_s - loop.time()
+            has_lost_store = was_fresh and not news.is_fresh
+            if _has_content(news) or has_lost_store or remaining_s <= 0:
                 return news
             was_fresh = news.is_fresh
-            await self.source.wait_for_change(left_s)
+            await self.source.wait_for_change(remaining_s)
 
-    def _plan_look(self) -> None:
+    def _schedule_check(self) -> None:
         loop = asyncio.get_running_loop()
-        self._look_timer = loop.call_later(LOOK_S, self._look)
+        self._check_timer = loop.call_later(
+            CHECK_INTERVAL_S, self._check_trust
+        )
 
-    def _look(self) -> None:
-        """Wake the polls that are held where the trust has changed.
+    def _check_trust(self) -> None:
+        """Wake held polls when contact with the store has changed.
 
-        One look for all of them: with twenty polls, one each, they were 170
-        a second.
+        One timer serves all polls: with a timer for each, 20 polls caused 170
+        checks a second.
         """
-        self._look_timer = None
+        self._check_timer = None
         if self.polls:
-            self._plan_look()
+            self._schedule_check()
         is_trusted = self.source.is_trusted
         if is_trusted is not self._was_trusted:
             self._was_trusted = is_trusted
@@ -308,7 +312,7 @@
 
 
 def _has_content(news: RelayNews) -> bool:
-    """Say whether news are worth an answer before time is up."""
+    """Return whether an update is worth an answer before the timeout."""
     members = news.members
     has_members = members is not None and (
         members.entries or members.is_complete
--- /dev/null
+++ b/sedgering/mesh/_row_writer.py
@@ -0,0 +1,175 @@
+"""Writes the member row of this host to the store."""
+
+import asyncio
+from collections.abc import Awaitable
+from collections.abc import Callable
+import logging
+
+import msgspec
+
+from sedgering import base
+from sedgering import exceptions
+from sedgering.mesh import _members
+from sedgering.mesh import _messages
+from sedgering.mesh import _watch
+from sedgering import storage
+
+__all__ = ['MemberRowWriter']
+
+LOG = logging.getLogger(__name__)
+
+#: Longest pause between two attempts: other daemons must know of the target
+#: about two seconds after the store is back.
+LONGEST_PAUSE_S = 1.0
+WRITE_OPERATION = base.OperationId('member row')
+
+_ENCODER = msgspec.json.Encoder()
+
+
+class MemberRowWriter:
+    """Writes this host's row, and repeats failed writes.
+
+    Each write is conditional on the last known revision, so that an older
+    write that the store executes late does not overwrite a newer one.
+
+    Parameters
+    ----------
+    table : WatchedTable
+        One row for each host.
+    host : HostId
+        Host whose row is written.
+    store_return : StoreReturn
+        Shared by all tasks of the daemon that call the store.
+    """
+
+    def __init__(
+        self,
+        table: storage.WatchedTable,
+        host: base.HostId,
+        store_return: _watch.StoreReturn,
+    ):
+        self.table = table
+        self.host = host
+        self._desired: bytes | None = None
+        self._is_write_due = False
+        self._has_work = asyncio.Event()
+        self._pending_read: Callable[[], Awaitable] | None = None
+        #: Revision and value of the row in the store; the revision is None
+        #: while it is not known.
+        self._revision: int | None = None
+        self._stored: bytes | None = None
+        self._pauses = _watch.Pauses(store_return)
+        self._pauses.longest_s = LONGEST_PAUSE_S
+
+    def set_row(self, row: _messages.MemberRow | None) -> None:
+        """Set the row to be written; it replaces one not yet written."""
+        self._desired = _encode(row)
+        self._is_write_due = True
+        self._has_work.set()
+
+    def set_stored_row(self, entry: _members.MemberEntry) -> None:
+        """Set the stored row from another source instead of reading it."""
+        if self._revision is None:
+            self._revision = entry.revision
+            self._stored = _encode(entry.row)
+
+    def check_stored_row(
+        self, row: _messages.MemberRow | None, revision: int
+    ) -> None:
+        """Write the row again if another writer has removed or damaged it.
+
+        Parameters
+        ----------
+        row : MemberRow or None
+            This host's row as stored; None when there is none that can be
+            decoded.
+        revision : int
+            Revision of the store at which that holds.
+        """
+        is_written = self._desired is not None and self._revision
+        if row is None and is_written and revision > self._revision:
+            LOG.warning(
+                'row removed or damaged by another writer',
+                extra={'version': revision},
+            )
+            self._revision = None
+            self._is_write_due = True
+            self._has_work.set()
+
+    def read_once(self, read: Callable[[], Awaitable]) -> None:
+        """Call `read` once in this task, with the task's retry pauses."""
+        self._pending_read = read
+        self._has_work.set()
+
+    async def run(self) -> None:
+        """Write rows as they are set, until cancelled."""
+        while True:
+            await self._has_work.wait()
+            self._has_work.clear()
+            desired = self._desired
+            is_write_due, self._is_write_due = self._is_write_due, False
+            read, self._pending_read = self._pending_read, None
+            try:
+                if read is not None:
+                    await read()
+                if is_write_due:
+                    await self._write(desired)
+                self._pauses.reset()
+            except exceptions.PlatformError as error:
+                await self._note_failure(error, is_write_due)
+            except Exception:
+                # An unexpected exception must not end the task: the row would
+                # never be updated again.
+                LOG.exception('row not written')
+                self._schedule_write(is_write_due)
+                await self._pauses.wait()
+
+    async def _note_failure(
+        self, error: exceptions.PlatformError, is_write_due: bool
+    ) -> None:
+        """Pause, and repeat the write unless only a read has failed."""
+        LOG.info(
+            'row not written',
+            extra={'code': int(error.code), 'detail': error.detail},
+        )
+        if error.code is not exceptions.Code.PLATFORM_DOWN:
+            # The write may have been executed, or may be executed later.
+            self._revision = None
+        self._schedule_write(is_write_due)
+        await self._pauses.wait()
+
+    def _schedule_write(self, is_write_due: bool) -> None:
+        """Schedule another write, unless a newer row is already pending."""
+        self._is_write_due = self._is_write_due or is_write_due
+        if self._is_write_due:
+            self._has_work.set()
+
+    async def _write(self, desired: bytes | None) -> None:
+        if self._revision is None:
+            (row,) = await self.table.read([self.host])
+            self._revision = row.revision
+            self._stored = row.value if row.revision else None
+        if desired == self._stored:
+            return
+        outcome = await self.table.transact(self._make_transaction(desired))
+        if outcome.kind is not storage.OutcomeKind.DONE:
+            raise outcome.make_error()
+        self._revision = 0 if desired is None else outcome.revision
+        self._stored = desired
+        LOG.info(
+            'row written' if desired is not None else 'row removed',
+            extra={'version': outcome.revision},
+        )
+
+    def _make_transaction(self, desired: bytes | None) -> storage.Transaction:
+        conditions = (storage.Condition(self.host, self._revision),)
+        if desired is None:
+            return storage.Transaction(
+                WRITE_OPERATION, conditions, deletes=(self.host,)
+            )
+        puts = (storage.Put(self.host, desired),)
+        return storage.Transaction(WRITE_OPERATION, conditions, puts)
+
+
+def _encode(row: _messages.MemberRow | None) -> bytes | None:
+    return None if row is None else _ENCODER.encode(row)
--- a/sedgering/mesh/_settings.py
+++ b/sedgering/mesh/_settings.py
@@ -1,4 +1,4 @@
-"""Limits and weights of the request path, each with its source."""
+"""Settings of the request path."""
 
 from sedgering import settings
 
@@ -6,99 +6,101 @@
 
 
 class MeshSettings(settings.SettingsStruct):
-    """How the request path decides.
+    """Limits, timeouts and weights of the request path.
 
     Parameters
     ----------
     connect_timeout_ms : int
-        Longest wait for a connection to a peer.  A round trip between
-        data centres takes 3 ms, a lost opening packet is sent again
-        after 1 s: it is quicker to try another host.
+        Longest wait for a connection to a peer. A round trip between data
+        centres takes 3 ms, and a lost SYN packet is only sent again after 1 s:
+        trying another host is quicker.
     target_connect_timeout_ms : int
-        The same to the local target.
+        The same for the local target.
     target_idle_ms : int
-        Longest time for which an idle connection to the target is used.
+        Longest idle time after which a connection to the target is reused.
     peer_idle_ms : int
         The same for connections to peers.
     hops_limit : int
-        Most hosts that are asked for one request while none has run it.
+        Most hosts that one request is sent to while none has run it.
     suspect_ms, suspect_limit_ms : int
-        For how long a peer that failed gets nothing, at first and at
-        most; doubles with each failure.
+        How long a failed peer gets no calls, at first and at most; doubles
+        with each failure.
     silence_ms : int
-        A daemon with calls under way that answers nothing for so long,
-        not even whether it lives, is given up; a target is taken as
-        silent after so long at the least.  Work takes 30 to 200 ms, a
-        slow target five times that; the goals are 400 and 500 ms.
+        Time without any answer, even to a ping, after which a daemon with
+        calls under way is abandoned; also the shortest time after which a
+        target counts as silent. Work takes 30 to 200 ms, on a slow target five
+        times that; the latency goals are 400 and 500 ms.
     report_half_life_ms : int
-        Age at which a load report of a peer counts half.
+        Age at which the weight of a load report of a peer has halved.
     remote_gain_percent, remote_gain_percent_per_kb : int
-        A call leaves its data centre where that lets so many more of 100
-        such calls end in time; the second is added for each kilobyte of
-        the request body and of the usual answer of the route.
+        A call is sent to another data centre if so many more of 100 such calls
+        then end in time. The second value is added for each kilobyte of the
+        request body and of the usual answer of the route.
     remote_penalty_ms : int
-        What another data centre must be quicker by to be chosen for a call
-        that is late wherever it goes.
+        Time that another data centre must save to be chosen for a call that is
+        late wherever it is sent.
     remote_penalty_us_per_byte : int
-        Added for each byte of the request body and of the usual answer
-        of the route.  Links between data centres are shared: a body of
-        60 kB leaves its data centre only when that saves 300 ms.
+        Added to `remote_penalty_ms` for each byte of the request body and of
+        the usual answer of the route. Links between data centres are shared: a
+        body of 60 kB leaves its data centre only if that saves 300 ms.
     shed_margin_percent : int
-        Share of the mean work time that must fit before the deadline.
+        Share of the mean processing time that must fit before the deadline.
     retry_share_percent : int
         Share of the platform's retry budget that is used.
     rerun_share_percent : int
-        Share of that budget up to which requests are sent again that have
-        run, or may have: these repeat the calls that their targets make,
-        so that at a depth of two this share and the one above add up.  A
-        call that was refused before work repeats nothing.
+        Share of that budget that retries of requests which have run, or may
+        have run, may use. These repeat the calls that their targets make, so
+        that at a call depth of two this share and `retry_share_percent` add
+        up. A call that was refused before any work repeats nothing.
     least_retry_after_ms, longest_retry_after_ms : int
         Bounds of the time after which a refused caller is told to return.
-        Targets that have just started are slow for 3 s: callers with 10 s
-        left that return within 0.8 s are refused again, 1.2 % of them for
-        good; with 2 s 0.1 % (load everything-restarts).
+        Targets that have just started are slow for 3 s. Callers with 10 s left
+        that returned within 0.8 s were refused again, and 1.2 % of them were
+        never served; with 2 s it was 0.1 % (restart of all hosts).
     leave_serving_ms : int
-        For how long a leaving daemon goes on accepting: its callers stop
-        after two missed questions of readiness, one a second.
+        How long a leaving daemon continues to accept requests: its callers
+        stop after two failed readiness checks, one a second.
     leave_margin_ms : int
-        Time before the end of the grace time at which it ends anyway.
+        Time before the end of the grace time at which the daemon ends in any
+        case.
     relay_from_hosts : int
-        Hosts from which on a few of them watch the store for the others.
-        Each daemon that watches makes 40 to 70 calls a minute.  With 74 that
-        do, versions fill links of 10 Mbit/s and 46 % of calm traffic is
-        served; with relays 94 %.
+        Fleet size from which a few hosts watch the store for the others. Each
+        watching daemon makes 40 to 70 calls a minute. When 74 daemons watched,
+        versions filled links of 10 Mbit/s, and 46 % of the requests under
+        normal load were served; with relays it was 94 %.
     caller_fields : list of str
-        Header fields, in lower case, that say who asks.  Two requests that
-        differ in one of them are not the same request.
+        Header fields, in lower case, that identify the caller. Two requests
+        that differ in one of them are not the same request.
     quarantine_crashes : int
-        Targets that end under a request before it is held back; 0 for never.
-        One end says little: a dozen other requests were under way.  Two may
-        come together where targets end for another cause; from the second on
-        a request runs apart from other suspects, so that the third is its
-        own.
+        Number of target crashes after which a request is quarantined; 0 to
+        disable. One crash proves little: a dozen other requests were running.
+        Two may coincide where targets crash for another reason. From the
+        second one on, a request runs apart from other suspects, so that the
+        third crash is its own.
     advertised_port : int
-        Port at which other daemons reach this one, where that is not the
-        port on which it listens; 0 for the same.
+        Port at which other daemons reach this one, if it differs from the
+        listening port; 0 if not.
     exposed_share_percent : int
-        Share of the calls to a set that a version on trial may get at most,
-        over the whole fleet; what the operator lets a bad version harm.
+        Largest share of the calls to a target set that a version on trial may
+        get, over the whole fleet. It limits the harm that a bad version can
+        do.
     revoke_strict : bool
-        Whether known keys are refused, too, by a daemon that has not heard
-        for `revoke_ms` which keys were taken away; else it serves them.
+        Whether a daemon refuses even known keys when it has not been informed
+        of revoked keys for `revoke_ms`; if not, it accepts them.
     revoke_ms : int
-        Time within which a key that is taken away must be refused.
+        Time within which a revoked key must be refused.
     quota_window_ms : int
-        Window in which requests of a workspace are counted against its
-        quota; 0 where quotas are not counted.
+        Window in which requests of a workspace are counted against its quota;
+        0 disables quotas.
     quota_excess_percent : int
-        Share by which a quota may be passed in a window, over the whole
+        Share by which a quota may be exceeded in a window, over the whole
         fleet.
     quota_slack : int
-        Requests by which it may be passed besides.
+        Number of requests by which it may be exceeded in addition.
     success_log_every : int
-        One in so many plain successes is logged.
+        One of this many successful requests is logged.
     log_lines_per_s : int
-        Most log lines a second; more are counted and dropped.
+        Limit of log lines a second; excess lines are dropped and counted.
     """
 
     connect_timeout_ms: settings.IntervalMs = 300
--- a/sedgering/mesh/_leave_log.py
+++ b/sedgering/mesh/_shutdown_log.py
@@ -1,4 +1,4 @@
-"""One log line a second on what a leaving daemon waits for, and its end."""
+"""Logs once a second what delays the shutdown of a daemon."""
 
 import asyncio
 import heapq
@@ -11,29 +11,29 @@
 from sedgering import observability
 from sedgering import transport
 
-__all__ = ['LeaveLog']
+__all__ = ['ShutdownLog']
 
 LOG = logging.getLogger(__name__)
 
-#: Between two lines: a daemon has some seconds to leave.
+#: Interval between two lines; a daemon has several seconds to shut down.
 INTERVAL_S = 1.0
-#: Most requests named in one line, the oldest first.
-MOST_REQUESTS = 4
+#: Limit of requests listed in one line, the oldest first.
+LISTED_REQUESTS = 4
 
 
-class LeaveLog:
-    """Writes down what is under way while a daemon leaves.
+class ShutdownLog:
+    """Logs what is still under way while a daemon shuts down.
 
     Parameters
     ----------
     outbound : OutboundService
-        Requests of callers, and answers to them.
+        Serves callers; provides the number of their requests and answers.
     inbound : InboundService
-        Calls of peers, and answers to them.
+        Serves peers; provides the number of their calls and answers.
     pause : PauseWatch
-        Tells how late the event loop is.
+        Measures the delay of the event loop.
     counts : RequestCounts
-        Is told what is cut at the end.
+        Counts what is aborted at the end.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._cpu_s = 0.0
 
     async def run(self) -> None:
-        """Write a line each second until the daemon has left."""
+        """Log a line each second until cancelled."""
         self.pause.take_longest_lag_s()
         self._cpu_s = time.process_time()
         while True:
@@ -58,7 +58,7 @@
             self._write('leave waits')
 
     def note_end(self) -> None:
-        """Write down, and count, what the end of the daemon cuts."""
+        """Log and count what the end of the daemon aborts."""
         callers = self.outbound.find_load()
         peers = self.inbound.find_load()
         polls = self.inbound.desk.polls
@@ -71,12 +71,12 @@
             for _ in range(number):
                 self.counts.count('cut', label)
         number = len(self.outbound.connections)
-        self._write('left', detail=f'{number} connections cut')
+        self._write('left', detail=f'{number} connections aborted')
 
     def _write(self, message: str, **fields) -> None:
         now_s = asyncio.get_running_loop().time()
         oldest = heapq.nsmallest(
-            MOST_REQUESTS,
+            LISTED_REQUESTS,
             self.outbound.under_way,
             key=lambda item: item.request.received_s,
         )
@@ -97,8 +97,8 @@
 
 
 def _describe(load: transport.ServiceLoad, now_s: float, polls: int) -> str:
-    """Say what one listener waits for."""
-    # A poll whose connection has gone is given up a moment later.
+    """Describe what one listener waits for."""
+    # A poll whose connection has closed is still counted for a moment.
     calls = max(0, load.requests - polls)
     text = (
         f'{calls} without answer, {load.answers} answers unread:'
--- a/sedgering/mesh/_watch.py
+++ b/sedgering/mesh/_watch.py
@@ -1,4 +1,4 @@
-"""Follows tables of the store: versions of the operator, and members."""
+"""Watches tables of the store: versions, orders and member rows."""
 
 import abc
 import asyncio
@@ -29,61 +29,65 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Longest wait of one watch.  A store that comes back may have lost the
-#: answer of a watch without a word; versions must be in force 5 s after
-#: its return at the latest (3 s until it counts as stable, 2 s to apply).
+#: Longest wait of one watch. A store that comes back may have lost the answer
+#: of a watch without closing the connection. Versions must be in force at most
+#: 5 s after its return: 3 s until it counts as stable, and 2 s to apply them.
 WATCH_WAIT_MS = 3000
-#: Pause after changes: several that come in quick succession cost one
-#: call.  A third of the shortest time in which a version must be in force.
+#: Pause after a change, so that one call reads several changes in quick
+#: succession. It is a third of the shortest time in which a version must be in
+#: force.
 GATHER_S = 0.7
-#: The same in a daemon that others poll: they wait for it.
+#: The same in a daemon that others poll, since they wait for it.
 POLLED_GATHER_S = 0.6
-#: For how long others rely on a watch that has lost the store: most lose one
-#: connection and have another 0.3 s later.  Told at once, 88 daemons turned to
-#: the store together, each for the whole document over 3.5 Mbit/s, and for two
-#: seconds three of four callers got no answer in time.  A relay that falls
-#: silent is noticed after 1.4 s, so that versions are no later for it.
+#: How long followers rely on a watch that has lost the store: most such
+#: watches lose one connection and have another 0.3 s later. When the loss was
+#: reported at once, 88 daemons turned to the store together, each for the
+#: whole document over 3.5 Mbit/s, and for 2 s three of four callers got no
+#: answer in time. A relay that stops answering is detected after 1.4 s, so
+#: that this does not delay versions any further.
 LOST_GRACE_S = 0.8
-#: Pause before the whole table is read because its history is gone: relays
-#: have read it by then, and what they tell makes the call needless.  A daemon
-#: that others poll waits less, and does wait: while the store keeps no history
-#: at all, it would read again and again.
+#: Pause before the whole table is read because the store has dropped its
+#: history. By then relays have read it, and their updates make the call
+#: unnecessary. A daemon that others poll pauses for less time, but does pause:
+#: while the store keeps no history at all, it would otherwise read again and
+#: again.
 REREAD_PAUSE_S = 1.0
 POLLED_REREAD_PAUSE_S = 0.3
-#: Wait of the first watch after a pause or a failure, which shows that the
+#: Wait of the first watch after a pause or a failure; it only checks that the
 #: store answers.
 CONFIRM_WAIT_MS = 20
-#: Pauses after failures; spread so that many daemons do not return at once.
+#: Pauses after failures, with jitter so that many daemons do not call the
+#: store at once.
 FIRST_PAUSE_S = 0.2
 LONGEST_PAUSE_S = 2.0
-#: The longest one in a daemon that others poll, and wait for.
+#: Longest pause in a daemon that others poll, since they wait for it.
 POLLED_LONGEST_PAUSE_S = 1.0
-#: Longest time for which one watch leaves it to another to find out whether
-#: the store is back.
-LEFT_TO_OTHERS_S = 5.0
+#: Longest time for which a watch waits for another one to detect that the
+#: store is back.
+PROBE_WAIT_S = 5.0
 
 
-#: Called with the orders among some rows, whether all orders are among them,
-#: and the rows.
+#: Called with the orders decoded from a page of rows, whether these are all
+#: orders, and the page.
 OnOrders = Callable[[list[rollout.Order], bool, storage.RowsPage], None]
 
 
 class ConfigRow(msgspec.Struct, frozen=True):
-    """Where the operator writes versions, and how they are decoded.
+    """Row in which the operator writes versions, and its decoders.
 
     Parameters
     ----------
     table : WatchedTable
-        That has the row.
+        Table that contains the row.
     key : str
-        Of the row.
+        Key of the row.
     decode : callable
-        Makes an :class:`AcceptedConfig` of its value; raises
-        `BundleError` when it cannot be decoded.
+        Decodes its value to an :class:`AcceptedConfig`; raises `BundleError`
+        when it cannot be decoded.
     decode_order : callable or None
-        Makes an order of another row of the table, or None where the row is
-        no order; raises `RolloutError` when it cannot be decoded.  None where
-        the operator orders no rollouts.
+        Decodes another row of the table to an order, or to None where the row
+        is no order; raises `RolloutError` when it cannot be decoded. None
+        where the operator uses no rollouts.
     """
 
     table: storage.WatchedTable
@@ -92,23 +96,23 @@
     decode_order: Callable[[storage.Row], rollout.Order | None] | None = None
 
     async def read(self) -> storage.RowsPage:
-        """Read the row, with the orders beside it."""
+        """Read the row, and the orders if they are used."""
         if self.decode_order is None:
             return await self.table.list_rows(self.key, self.key + '\0')
         return await self.table.list_rows()
 
 
 class StoreReturn:
-    """Tells all tasks of a daemon that the store answers again.
+    """Notifies all tasks of a daemon that the store answers again.
 
-    While it does not, one task asks, and the others wait for it: with the
-    store away for 9 s, the watches of 195 daemons made 3,000 calls and more,
-    each of them refused.
+    During an outage one task calls the store and the others wait for it.
+    Without this, an outage of 9 s caused more than 3,000 calls of the watches
+    of 195 daemons, all of them refused.
 
     Attributes
     ----------
     is_away : bool
-        Whether the task that asks has had no answer to its last call.
+        Whether the last call of the task that probes the store has failed.
     """
 
     def __init__(self):
@@ -122,7 +126,7 @@
         self._returned = asyncio.Event()
 
     async def wait(self, longest_s: float) -> None:
-        """Wait until somebody tells, or until time is up."""
+        """Wait until the store is back, or until a timeout."""
         try:
             async with asyncio.timeout(longest_s):
                 await self._returned.wait()
@@ -131,13 +135,13 @@
 
 
 class Pauses:
-    """Growing pauses between calls of a store that fails.
+    """Exponential back-off between calls to a failing store.
 
     Parameters
     ----------
     store_return : StoreReturn
-        Shared by the tasks that ask the same store: the first one that
-        is answered ends the pauses of the others.
+        Shared by the tasks that call the same store: the first one to get an
+        answer ends the pauses of the others.
     """
 
     def __init__(self, store_return: StoreReturn):
@@ -147,33 +151,33 @@
         self._rng = random.Random()
 
     def reset(self) -> None:
-        """Start with short pauses again."""
+        """Reset to the first pause after a success."""
         if self._pause_s > FIRST_PAUSE_S or self.store_return.is_away:
             self.store_return.tell()
         self._pause_s = FIRST_PAUSE_S
 
     async def wait(self) -> None:
-        """Wait, longer each time, with jitter."""
+        """Wait with jitter, and double the next pause."""
         longest_s = self._pause_s * self._rng.uniform(0.5, 1.0)
         await self.store_return.wait(longest_s)
         self._pause_s = min(self.longest_s, 2 * self._pause_s)
 
 
 class TableWatcher(abc.ABC):
-    """Follows one table: reads it whole, then its changes.
+    """Watches one table: reads all of it, then its changes.
 
     Parameters
     ----------
     name : str
-        In logs.
+        Name of the watch in logs.
     table : WatchedTable
-        Followed.
+        Table to watch.
     store_return : StoreReturn
-        Of the daemon.
+        Shared by all tasks of the daemon that call the store.
     """
 
-    #: Whether this watch finds out for the others that the store is back.
-    asks_while_away = False
+    #: Whether this watch probes the store during an outage.
+    probes_during_outage = False
 
     def __init__(
         self,
@@ -189,77 +193,78 @@
         self.gather_s = GATHER_S
         #: Pause before the first call.
         self.first_pause_s = 0.0
-        #: Longest pause before a table is read anew whose history is gone.
+        #: Longest pause before a table is read again after the store has
+        #: dropped its history.
         self.reread_pause_s = REREAD_PAUSE_S
-        #: Whether the last call was answered, and changes are watched.
+        #: Whether the last call was answered and changes are being watched.
         self.is_fresh = False
-        #: When the store answered last.
+        #: Time of the last answer of the store.
         self.heard_s = -math.inf
         self._revision: int | None = None
-        #: When the last call that failed after others ended.
-        self._lost_s = -math.inf
+        #: Time of the last failure that followed a success.
+        self._last_loss_s = -math.inf
         self._is_lost = False
         self.pauses = Pauses(store_return)
         self._store_return = store_return
-        #: Told the store's clock with each answer to a watch.
+        #: Called with the store's clock for each answer to a watch.
         self.on_clock: Callable[[int], None] | None = None
         self._is_enabled = asyncio.Event()
         self._is_enabled.set()
 
     @property
     def is_trusted(self) -> bool:
-        """Whether others may rely on this watch for a moment more."""
+        """Whether this watch is fresh, or has only just lost the store."""
         now_s = asyncio.get_running_loop().time()
-        return self.is_fresh or now_s < self._lost_s + LOST_GRACE_S
+        return self.is_fresh or now_s < self._last_loss_s + LOST_GRACE_S
 
     def _note_lost(self) -> None:
         if self.is_fresh:
             self.is_fresh = False
-            self._lost_s = asyncio.get_running_loop().time()
+            self._last_loss_s = asyncio.get_running_loop().time()
 
     def set_enabled(self, is_enabled: bool) -> None:
-        """Go on, or stop to ask the store after the call under way."""
+        """Resume, or stop calling the store after the call under way."""
         if is_enabled:
             self._is_enabled.set()
         else:
             self._is_enabled.clear()
 
     def skip_to(self, revision: int) -> None:
-        """Note that all up to a revision is known from elsewhere."""
+        """Skip changes up to a revision that is known from other sources."""
         if revision:
             self._revision = max(self._revision or 0, revision)
 
     @abc.abstractmethod
     async def read_all(self) -> int:
-        """Read the table; return the counter of the store."""
+        """Read the whole table; return the revision of the store."""
 
     @abc.abstractmethod
     def take_changes(self, page: storage.RowsPage) -> None:
-        """Take in changed rows, or that there are none."""
+        """Process a page of changed rows; it may be empty."""
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch the table until cancelled."""
         await asyncio.sleep(self.first_pause_s)
         while True:
             await self._is_enabled.wait()
             try:
-                await self._follow()
+                await self._watch_changes()
                 self.is_fresh = False
             except exceptions.PlatformError as error:
                 if error.code is exceptions.Code.PLATFORM_HISTORY:
-                    await self._note_history()
+                    await self._note_dropped_history()
                     continue
                 self._note_lost()
                 await self._note_failure(error)
             except Exception:
-                # A defect must not end the task: nothing would be
-                # learned any more.
-                LOG.exception('watch failed')
+                # An unexpected exception must not end the task: no further
+                # change would be read.
+                LOG.exception('unexpected exception in a watch')
                 self._note_lost()
                 self._revision = None
                 await asyncio.sleep(LONGEST_PAUSE_S)
 
-    async def _follow(self) -> None:
+    async def _watch_changes(self) -> None:
         if self._revision is None:
             self._revision = await self.read_all()
             self._note_success()
@@ -280,16 +285,17 @@
         self.heard_s = asyncio.get_running_loop().time()
         if self._is_lost:
             self._is_lost = False
-            LOG.info('store regained', extra={'detail': self.name})
+            LOG.info('store available again', extra={'detail': self.name})
 
-    async def _note_history(self) -> None:
-        """Read the table anew: the store has answered, and hears this daemon.
+    async def _note_dropped_history(self) -> None:
+        """Schedule a full read; the watch still counts as in contact.
 
-        A relay that told its followers otherwise sent all of them to the
-        store: with 88 hosts each read the whole document over links of 3.5
-        Mbit/s, and for two seconds a quarter of the calls was served in time.
+        The store has answered. When relays reported a loss of contact here,
+        all their followers turned to the store: 88 hosts read the whole
+        document over links of 3.5 Mbit/s, and for 2 s only a quarter of the
+        calls was served in time.
         """
-        LOG.info('history dropped', extra={'detail': self.name})
+        LOG.info('store has dropped its history', extra={'detail': self.name})
         self._revision = None
         await asyncio.sleep(self.reread_pause_s * random.uniform(0.3, 1.0))
 
@@ -297,30 +303,30 @@
         if not self._is_lost:
             self._is_lost = True
             LOG.warning(
-                'store lost',
+                'store unavailable',
                 extra={
                     'code': int(error.code),
                     'detail': f'{self.name}: {error.detail}',
                 },
             )
-        self._store_return.is_away |= self.asks_while_away
+        self._store_return.is_away |= self.probes_during_outage
         await self.pauses.wait()
-        if self._store_return.is_away and not self.asks_while_away:
-            await self._store_return.wait(LEFT_TO_OTHERS_S)
+        if self._store_return.is_away and not self.probes_during_outage:
+            await self._store_return.wait(PROBE_WAIT_S)
 
 
 class ConfigWatcher(TableWatcher):
-    """Follows the operator's row.
+    """Watches the operator's row, and the orders in its table.
 
     Parameters
     ----------
     row : ConfigRow
-        Followed.
+        Row to watch.
     post : callable
-        Told each version that could be decoded, or None, and the counter
-        of the store up to which there is no newer one.
+        Called with each decoded version, or None, and the revision of the
+        store up to which there is no newer version.
     store_return : StoreReturn
-        Of the daemon.
+        Shared by all tasks of the daemon that call the store.
     """
 
     def __init__(
@@ -332,14 +338,14 @@
         super().__init__('watch-config', row.table, store_return)
         self.row = row
         self.post = post
-        #: Told the orders of a page, whether they are all, and the page.
+        #: Called with the orders of a page; see `OnOrders`.
         self.post_orders: OnOrders | None = None
         self._refusals = observability.RefusalLog(LOG, logging.ERROR)
-        #: Times that the whole row was read.
+        #: Number of full reads of the row.
         self.reads = 0
 
     async def read_all(self) -> int:
-        """Read the operator's row."""
+        """Read the operator's row and the orders."""
         self.reads += 1
         page = await self.row.read()
         self._take_orders(page, True)
@@ -363,7 +369,7 @@
             return self.row.decode_order(row)
         except exceptions.RolloutError as error:
             self._refusals.note(
-                row.revision, 'order refused', error, version=row.revision
+                row.revision, 'order rejected', error, version=row.revision
             )
         return None
 
@@ -383,19 +389,19 @@
 
 
 class MemberWatcher(TableWatcher):
-    """Follows the rows of hosts; asks for the others while the store is away.
+    """Watches the member rows; probes the store during an outage.
 
     Parameters
     ----------
     table : WatchedTable
         One row for each host.
     post : callable
-        Told the rows that changed.
+        Called with the changed rows.
     store_return : StoreReturn
-        Of the daemon.
+        Shared by all tasks of the daemon that call the store.
     """
 
-    asks_while_away = True
+    probes_during_outage = True
 
     def __init__(
         self,
@@ -410,15 +416,15 @@
     async def read_all(self) -> int:
         """Read all rows."""
         page = await self.table.list_rows()
-        self._show(page, True)
+        self._post_page(page, True)
         return page.revision
 
     def take_changes(self, page: storage.RowsPage) -> None:
-        """Take in rows that were written or removed."""
-        self._show(page, False)
+        """Process rows that were written or removed."""
+        self._post_page(page, False)
 
-    def _show(self, page: storage.RowsPage, is_complete: bool) -> None:
-        # The last one of several changes of a row counts.
+    def _post_page(self, page: storage.RowsPage, is_complete: bool) -> None:
+        # Only the last of several changes of a row is kept.
         rows = {row.key: row for row in page.rows}
         entries = tuple(
             _members.MemberEntry(
@@ -435,5 +441,7 @@
             return _members.decode_row(base.HostId(row.key), row.value)
         except exceptions.MemberError as error:
             key = (row.key, row.revision)
-            self._refusals.note(key, 'member row refused', error, peer=row.key)
+            self._refusals.note(
+                key, 'member row rejected', error, peer=row.key
+            )
         return None
