--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,11 +1,12 @@
-Feature: Requests of a daemon that ends
-  Seen: hosts were stopped in turn, and requests that a daemon had taken after
-  it was told to leave ended with their connection, 2.9 and 3.6 s after their
-  targets had answered.  The answers were still on their way over full links;
-  the callers had 7 s, the daemon had 5.6.
-  Cause: nothing bounds a request by the end of the daemon that took it, and
-  an answer that has been handed to the socket does not count as under way.
-  Proof: an answer that comes too late, over any link, brings it about.
+Feature: Requests of a daemon that shuts down
+  Guards against requests that end with their connection although the daemon
+  accepted them after the shutdown signal and their targets have answered.
+  In a rolling restart, with a grace time of 5.6 s and callers that waited
+  7 s, connections of such requests were closed 2.9 and 3.6 s after their
+  targets had answered, while the answers were still in transfer over full
+  links.  This happens when the end of the daemon does not limit its requests,
+  or when an answer that has been written to the socket no longer counts as
+  under way.  An answer that is late for any reason reproduces it.
 
   Background:
     Given a mesh with two calendar hosts
@@ -13,58 +14,58 @@
   Scenario Outline: A request that outlasts its daemon is answered
     Given a route "/long/" with a timeout of 10000 ms
     And the targets work 8 s
-    When the first host has 2 s to leave, <when> a caller asks "/long/"
-    Then the caller is told 504 in the last third of that time
+    When the first host has 2 s to shut down, <when> a caller asks "/long/"
+    Then the caller gets status 504 in the last third of that time
 
     Examples:
       | when   |
       | after  |
       | before |
 
-  Scenario: A target is given the time that the daemon has
+  Scenario: The deadline of a target is limited by the grace time of the daemon
     Given a route "/long/" with a timeout of 10000 ms
     And the targets work 8 s
-    When the first host has 2 s to leave, after a caller asks "/long/"
-    Then each target was given less than 2 s
+    When the first host has 2 s to shut down, after a caller asks "/long/"
+    Then each target got a deadline of less than 2 s
 
-  Scenario: A daemon that stands still does not take that for quiet
+  Scenario: A daemon that was stopped does not count that time as idle
     Given a route "/long/" with a timeout of 10000 ms
     And the targets work 4 s
-    When the first host has 8 s to leave, and stands still for 0.5 s
-    Then the request that it had taken before is answered 200
+    When the first host has 8 s to shut down, and is stopped for 0.5 s
+    Then the request that it had accepted before is answered 200
 
   Scenario: An answer that its caller reads slowly is not cut
     Given answers of 12000000 bytes
-    When a slow reader has asked a daemon that then leaves within 8 s
-    Then it reads the whole answer
+    When a slow reader calls a daemon that then shuts down within 8 s
+    Then it reads the complete answer
 
-  Scenario: A request that crosses the close of its connection cuts no answer
+  Scenario: A request sent while its connection closes aborts no answer
     Given answers of 300000 bytes
     When a slow reader of a leaving daemon sends another request
-    Then it reads the whole answer
+    Then it reads the complete answer
 
-  Scenario: A request sent ahead is not passed on behind the last answer
-    When a caller of a leaving daemon sends ahead behind a quick request
+  Scenario: A pipelined request is not forwarded after the last answer
+    When a caller of a leaving daemon pipelines requests after a quick one
     Then each request that ran is answered
 
-  Scenario: A request that is whole too late is refused and not run
+  Scenario: A request that is completed too late is refused and not run
     Given a route "/long/" with a timeout of 10000 ms
     And the targets work 8 s
-    When the end of a request of 9000 ms reaches a daemon that is leaving
-    Then it is told 503 within 1 s
+    When the end of a request with 9000 ms left reaches a leaving daemon
+    Then it gets status 503 within 1 s
     And no target ran it
 
-  Scenario: A request that ends before its daemon is served to the last
+  Scenario: A request that ends before its daemon does is served
     Given a route "/long/" with a timeout of 10000 ms
     And the targets work 0.2 s
-    When the end of a request of 4000 ms reaches a daemon that is leaving
-    Then it is told 200 within 1 s
+    When the end of a request with 4000 ms left reaches a leaving daemon
+    Then it gets status 200 within 1 s
 
-  Scenario Outline: Work is not broken off before the last sixth
+  Scenario Outline: Work is not aborted before the last sixth of the grace time
     Given a route "/long/" with a timeout of 10000 ms
     And the targets work 8 s
-    When the first host has <grace> s to leave, before a caller asks "/long/"
-    Then the caller is told 504 in the last sixth of that time
+    When the first host has <grace> s to shut down, before a caller asks "/long/"
+    Then the caller gets status 504 in the last sixth of that time
 
     Examples:
       | grace |
@@ -72,21 +73,21 @@
       | 2     |
       | 6     |
 
-  Scenario: A later attempt is given the time that the daemon has
+  Scenario: The deadline of a retry is limited by the grace time of the daemon
     Given a third host that is ready
     And a route "/long/" with a timeout of 10000 ms
     And the targets work 1 s
     And the targets are reset
-    When the first host has 6 s to leave, before a caller asks "/long/"
-    Then each later attempt was given less than 6 s
+    When the first host has 6 s to shut down, before a caller asks "/long/"
+    Then each later attempt got a deadline of less than 6 s
 
-  Scenario: A request that ends as its daemon is told to leave does no harm
+  Scenario: A request that ends at the shutdown deadline raises no error
     Given a route "/long/" with a timeout of 300 ms
     And the targets work 8 s
-    When the first host has no time to leave as a request ends
+    When the shutdown deadline of the first host passes as a request ends
     Then the daemon has left
 
-  Scenario: A connection that is not read any more is read before its close
+  Scenario: Unread requests of a connection are read before it is closed
     Given answers of 20000 bytes
-    When a slow reader of a leaving daemon sends more ahead than is taken
+    When a slow reader of a leaving daemon pipelines too many requests
     Then its connection is not reset
--- a/features/relays.feature
+++ b/features/relays.feature
@@ -1,109 +1,109 @@
 Feature: Relays watch the store for the others
-  In a large fleet few daemons watch the store; the others poll them.
+  In a large fleet a few daemons watch the store, and the others poll them.
 
-  Scenario: Member rows are the store's, whoever tells them
-    Then logs that learn from the store and each other in any order are right
+  Scenario: Member rows of the store and of other daemons merge correctly
+    Then member logs agree with the store for any order of updates
 
-  Scenario: A version is the same, whole or by differences
-    Then any version held leads to the newest one
+  Scenario: A version is the same in full and by differences
+    Then each held version can be updated to the newest one
 
-  Scenario Outline: News that are damaged are refused whole
-    Given news of a version by differences
+  Scenario Outline: A corrupted update is refused as a whole
+    Given an update of a version by differences
     When <damage>
     Then they are refused with code <code>
 
     Examples:
-      | damage                             | code |
-      | a difference is cut short          | 1101 |
-      | the last difference is left out           | 1106 |
-      | they start from another version    | 1107 |
-      | the whole bundle has another digest | 1106 |
+      | damage                              | code |
+      | a difference is truncated           | 1101 |
+      | the last difference is missing      | 1106 |
+      | the base version is another one     | 1107 |
+      | the full bundle has another digest  | 1106 |
 
-  Scenario Outline: Relays are chosen by their links, alike everywhere
-    Given <hosts> hosts of one data centre, <wide> of them with wide links
-    Then <relays> relays are chosen, among them all <wide> wide ones
+  Scenario Outline: All daemons choose the same relays, by their links
+    Given <hosts> hosts of one data centre, <fast> of them with fast links
+    Then <relays> relays are chosen, including all <fast> with fast links
 
     Examples:
-      | hosts | wide | relays |
+      | hosts | fast | relays |
       | 1     | 0    | 1      |
       | 25    | 2    | 2      |
       | 100   | 3    | 4      |
 
-  Scenario: Few hosts watch the store, and all have its news
-    Given a mesh of 5 hosts in which relays serve
+  Scenario: A few hosts watch the store, and all get its updates
+    Given a mesh of 5 hosts with relays
     Then 2 hosts watch the store
     When version 2 is written
-    Then all hosts have version 2, and it was read whole by 2 hosts
+    Then all hosts have version 2, and 2 hosts have read it in full
 
-  Scenario: A new member is known everywhere
-    Given a mesh of 5 hosts in which relays serve
+  Scenario: A new member becomes known to all hosts
+    Given a mesh of 5 hosts with relays
     When another host starts
     Then all hosts know 6 members
 
-  Scenario: Both relays die, and no version is missed
-    Given a mesh of 5 hosts in which relays serve
+  Scenario: No version is missed when both relays are killed
+    Given a mesh of 5 hosts with relays
     When both relays are killed
     And version 2 is written
-    Then all hosts that live have version 2
+    Then all remaining hosts have version 2
 
-  Scenario: Relays that stand still are given up
-    Given a mesh of 5 hosts in which relays serve
-    When both relays stand still
+  Scenario: Relays that stop answering are replaced
+    Given a mesh of 5 hosts with relays
+    When both relays stop answering polls
     And version 2 is written
-    Then all hosts that live have version 2
+    Then all remaining hosts have version 2
 
-  Scenario: Relays that do not hear the store are given up
-    Given a mesh of 5 hosts in which relays serve
-    When both relays lose the store
+  Scenario: Relays that have lost the store are replaced
+    Given a mesh of 5 hosts with relays
+    When both relays lose contact with the store
     And version 2 is written
-    Then all hosts that live have version 2
-
-  Scenario: A store that forgets its history loses no relay
-    Relays said that they did not hear the store while they read it anew.  All
-    others read the whole document themselves: 88 hosts with links of 3.5
-    Mbit/s had full links for a second, connects timed out, and calls waited
-    for 0.7 s before they were sent.
-    Given a mesh of 5 hosts in which relays serve
-    When the store forgets its history 3 times, with a version after each
+    Then all remaining hosts have version 2
+
+  Scenario: Relays are kept when the store drops its history
+    Guards against relays that report a loss of the store while they read it
+    again.  Their followers then read the whole document themselves: 88 hosts
+    with links of 3.5 Mbit/s had full links for a second, connection attempts
+    timed out, and calls waited 0.7 s before they were sent.
+    Given a mesh of 5 hosts with relays
+    When the store drops its history 3 times, with a version after each
     Then all hosts have version 4
     And only the 2 relays have read the document since
 
-  Scenario: A relay that loses a connection to the store is kept
-    Given a mesh of 5 hosts in which relays serve
-    When the store cuts all connections for 0.3 s and forgets its history
+  Scenario: A relay is kept when it loses a connection to the store
+    Given a mesh of 5 hosts with relays
+    When the store resets all connections for 0.3 s and drops its history
     And version 2 is written
     Then all hosts have version 2
     And only the 2 relays have read the document since
 
-  Scenario: A list that was read again is told by what has changed
-    Given a relay that knows 88 members, and one who follows it
-    When it reads the whole list again, with a member more and one less
-    Then it tells the follower of these 2 only, and both know the same members
+  Scenario: After a full read of the members, a relay sends only the changes
+    Given a relay that knows 88 members, and a follower
+    When the relay reads the full list again, with a row added and one removed
+    Then the follower gets these 2 changes only, and both know the same members
 
-  Scenario: A difference that does not fit is replaced by a whole version
-    Given a mesh of 5 hosts in which relays serve
-    When the differences that the relays keep are damaged
+  Scenario: A full version replaces a difference that cannot be applied
+    Given a mesh of 5 hosts with relays
+    When the differences kept by the relays are corrupted
     And version 2 is written
     Then all hosts have version 2
 
-  Scenario: A whole version is asked for no longer once there is one
-    Given a mesh of 5 hosts in which relays serve
-    When a daemon has refused a difference, and got its version elsewhere
-    Then it holds its next polls, and asks for no whole version again
+  Scenario: No full version is requested once the daemon has it
+    Given a mesh of 5 hosts with relays
+    When a daemon has rejected a difference, and got its version elsewhere
+    Then its next polls are held, and it requests no full version again
 
   Scenario: A small mesh has no relays
-    Given a mesh of 2 hosts in which relays serve
+    Given a mesh of 2 hosts with relays
     Then 2 hosts watch the store
 
-  Scenario: While the store is away each daemon asks it by one call at a time
-    Given a mesh of 5 hosts in which relays serve
+  Scenario: During a store outage each daemon makes one call at a time
+    Given a mesh of 5 hosts with relays
     When the store refuses all calls for 5 s
-    Then it was asked 60 times at the most
+    Then it got at most 60 calls
     And 2 hosts watch the store
     When version 2 is written
     Then all hosts have version 2
 
-  Scenario: On the first start of all nobody takes the fleet for a small one
+  Scenario: At the first start of all hosts no daemon assumes a small fleet
     Given a mesh of 6 hosts that all start for the first time
     Then 2 hosts watch the store
     And all hosts have version 1
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps over a daemon that ends while requests are under way."""
+"""Steps for a daemon that shuts down while requests are under way."""
 
 import asyncio
 import time
@@ -8,10 +8,10 @@
 from behave import when
 import slow_reader
 
-#: In which a request or an answer has arrived.
+#: Time in which a request or an answer arrives.
 PAUSE_S = 0.1
 DEADLINE_MS = 9000
-#: Of daemons whose end is not what is looked at.
+#: Grace time where its length does not matter.
 GRACE_MS = 8000
 BODY = b'body'
 POST = (
@@ -21,7 +21,7 @@
 
 
 async def _end(daemon, grace_ms):
-    """Let a daemon leave, and cut what is left as its process ends."""
+    """Shut a daemon down, and close what is left as its process ends."""
     await daemon.leave(grace_ms)
     await daemon.close()
 
@@ -45,7 +45,8 @@
 
 
 @when(
-    'the first host has {grace_s:d} s to leave, {when} a caller asks "{path}"'
+    'the first host has {grace_s:d} s to shut down, {when} a caller asks '
+    '"{path}"'
 )
 def step_leave(context, grace_s, when, path):
     mesh = context.mesh
@@ -76,15 +77,15 @@
     mesh.fleet.run(run())
 
 
-@then('the caller is told {status:d} in the last third of that time')
-def step_told(context, status):
+@then('the caller gets status {status:d} in the last third of that time')
+def step_status_last_third(context, status):
     assert context.answer.status == status, context.answer
     share = context.answered_s / context.grace_s
     assert 2 / 3 < share < 1, context.answered_s
 
 
-@then('each target was given less than {most_s:d} s')
-def step_given_time(context, most_s):
+@then('each target got a deadline of less than {most_s:d} s')
+def step_deadline(context, most_s):
     runs = context.mesh.list_runs()
     assert runs
     for _request_id, _line, headers, _body in runs:
@@ -92,10 +93,10 @@
 
 
 @when(
-    'the first host has {grace_s:d} s to leave, and stands still for '
+    'the first host has {grace_s:d} s to shut down, and is stopped for '
     '{pause_s:g} s'
 )
-def step_stand_still(context, grace_s, pause_s):
+def step_stopped(context, grace_s, pause_s):
     mesh = context.mesh
     port = mesh.first.addresses.callers_port
 
@@ -114,7 +115,7 @@
         )
         serving_ms = mesh.first.daemon.state.mesh_settings.leave_serving_ms
         await asyncio.sleep(serving_ms / 1000 + PAUSE_S)
-        # Of all that runs in this loop.
+        # Stops everything that runs in this event loop.
         time.sleep(pause_s)
         context.answer = await asking
         await leaving
@@ -122,12 +123,12 @@
     mesh.fleet.run(run())
 
 
-@then('the request that it had taken before is answered {status:d}')
-def step_taken_before(context, status):
+@then('the request that it had accepted before is answered {status:d}')
+def step_accepted_before(context, status):
     assert context.answer.status == status, context.answer
 
 
-@when('a slow reader has asked a daemon that then leaves within {grace_s:d} s')
+@when('a slow reader calls a daemon that then shuts down within {grace_s:d} s')
 def step_slow_reader(context, grace_s):
     mesh = context.mesh
 
@@ -150,7 +151,7 @@
 
 
 @when('a slow reader of a leaving daemon sends another request')
-def step_crossing(context):
+def step_concurrent_close(context):
     mesh = context.mesh
 
     async def run():
@@ -160,7 +161,7 @@
         while not mesh.list_runs():
             await asyncio.sleep(0.01)
         await asyncio.sleep(PAUSE_S)
-        await reader.ask('crossing')
+        await reader.ask('concurrent')
         await asyncio.sleep(PAUSE_S)
         context.data = await reader.read()
         context.ended = reader.ended
@@ -168,14 +169,14 @@
     mesh.fleet.run(run())
 
 
-@then('it reads the whole answer')
-def step_whole(context):
+@then('it reads the complete answer')
+def step_complete(context):
     _head, _mark, body = context.data.partition(b'\r\n\r\n')
     assert len(body) == context.size, (len(body), context.ended)
 
 
-@when('a caller of a leaving daemon sends ahead behind a quick request')
-def step_ahead(context):
+@when('a caller of a leaving daemon pipelines requests after a quick one')
+def step_pipelined(context):
     mesh = context.mesh
 
     async def run():
@@ -202,9 +203,7 @@
     assert ran == answered, (ran, answered)
 
 
-@when(
-    'the end of a request of {time_ms:d} ms reaches a daemon that is leaving'
-)
+@when('the end of a request with {time_ms:d} ms left reaches a leaving daemon')
 def step_late_end(context, time_ms):
     mesh = context.mesh
     head = POST.format('late', time_ms).encode()
@@ -217,7 +216,7 @@
         leaving = asyncio.ensure_future(_end(mesh.first.daemon, GRACE_MS))
         writer.write(head)
         limits = mesh.first.daemon.state.mesh_settings
-        # More than 3 s after it was told to leave.
+        # More than 3 s after the shutdown has begun.
         await asyncio.sleep(limits.leave_serving_ms / 1000 + 0.6)
         started_s = mesh.fleet.loop.time()
         writer.write(BODY)
@@ -229,8 +228,8 @@
     mesh.fleet.run(run())
 
 
-@then('it is told {status:d} within {limit_s:d} s')
-def step_told_soon(context, status, limit_s):
+@then('it gets status {status:d} within {limit_s:d} s')
+def step_status_soon(context, status, limit_s):
     assert f' {status} '.encode() in context.data, context.data
     assert context.waited_s < limit_s, context.waited_s
 
@@ -240,17 +239,17 @@
     assert not context.mesh.list_runs()
 
 
-@then('the caller is told {status:d} in the last sixth of that time')
-def step_told_last(context, status):
+@then('the caller gets status {status:d} in the last sixth of that time')
+def step_status_last_sixth(context, status):
     assert context.answer.status == status, context.answer
     share = context.answered_s / context.grace_s
     assert 5 / 6 <= share < 1, context.answered_s
 
 
-@then('each later attempt was given less than {most_s:d} s')
-def step_later_given(context, most_s):
-    # The first attempt was sent before the daemon knew its end, and has all
-    # of the caller's time.
+@then('each later attempt got a deadline of less than {most_s:d} s')
+def step_retry_deadline(context, most_s):
+    # The first attempt was sent before the shutdown began, with all of the
+    # caller's time.
     given = [
         int(headers['X-Request-Deadline'])
         for _request_id, _line, headers, _body in context.mesh.list_runs()
@@ -260,14 +259,14 @@
     assert max(given) < most_s * 1000, given
 
 
-@when('the first host has no time to leave as a request ends')
+@when('the shutdown deadline of the first host passes as a request ends')
 def step_no_time(context):
     mesh = context.mesh
     loop = mesh.fleet.loop
     daemon = mesh.first.daemon
     context.raised = None
 
-    def begin():
+    def expire():
         try:
             daemon.state.serving.end_at(loop.time() - 1)
         except RuntimeError as error:
@@ -280,8 +279,9 @@
         )
         await _wait_running(mesh)
         (limit,) = daemon.state.serving._limits
-        # Its time and the end come up in one turn of the loop.
-        loop.call_at(limit.when() + 1e-9, begin)
+        # Its timeout and the shutdown deadline expire in one iteration of the
+        # event loop.
+        loop.call_at(limit.when() + 1e-9, expire)
         await asking
 
     mesh.fleet.run(run())
@@ -292,8 +292,8 @@
     assert context.raised is None, context.raised
 
 
-@when('a slow reader of a leaving daemon sends more ahead than is taken')
-def step_more_ahead(context):
+@when('a slow reader of a leaving daemon pipelines too many requests')
+def step_too_many_pipelined(context):
     mesh = context.mesh
 
     async def run():
@@ -309,9 +309,9 @@
         for number in range(1, 16):
             await reader.ask(f'ahead-{number}')
         await asyncio.sleep(PAUSE_S)
-        # Not read: the connection has as many as it takes.
+        # Not read: the connection already holds as many as it accepts.
         await reader.ask('ahead-16')
-        # The answers are there after 1 s, and the connection closes.
+        # The answers arrive after 1 s, and the connection closes.
         await asyncio.sleep(2.5)
         context.data = await reader.read()
         context.ended = reader.ended
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps over relays, and over the logs of members and versions."""
+"""Steps for relays, and for the logs of members and versions."""
 
 import asyncio
 import threading
@@ -27,21 +27,21 @@
 
 
 def make_row(host, number=0, link_mbps=10) -> mesh.MemberRow:
-    """Make a row; `number` tells versions of it apart."""
+    """Make a row; `number` makes its content unique."""
     return testing.make_member_row(
         host, target=f'i-{number}', link_mbps=link_mbps
     )
 
 
 class StoreHistory:
-    """Rows of a store with all of their changes."""
+    """Rows of a store, with all changes."""
 
     def __init__(self):
         self.entries: list[_members.MemberEntry] = []
 
     @property
     def revision(self) -> int:
-        """Counter of the store; it starts at 1."""
+        """Current revision of the store; the first one is 1."""
         return len(self.entries) + 1
 
     def change(self, host: str, is_removed: bool) -> None:
@@ -59,7 +59,7 @@
         return {host: row for host, row in rows.items() if row is not None}
 
     def read(self, lag: int) -> _members.MemberNews:
-        """Read all rows, as of some changes ago."""
+        """Return all rows, as of `lag` changes ago."""
         revision = max(1, self.revision - lag)
         entries = tuple(
             entry
@@ -71,7 +71,7 @@
         return _members.MemberNews(entries, revision, True)
 
     def watch(self, after: int, lag: int) -> _members.MemberNews:
-        """Tell the changes since a revision, up to some changes ago."""
+        """Return the changes since a revision, up to `lag` changes ago."""
         revision = max(after, self.revision - lag)
         last = {
             entry.host: entry
@@ -81,7 +81,7 @@
         return _members.MemberNews(tuple(last.values()), revision, False)
 
 
-@then('logs that learn from the store and each other in any order are right')
+@then('member logs agree with the store for any order of updates')
 def step_logs(context):
     log = st.integers(0, LOGS - 1)
     lag = st.integers(0, 3)
@@ -128,56 +128,56 @@
     return platform.decode_document(document)
 
 
-@then('any version held leads to the newest one')
+@then('each held version can be updated to the newest one')
 def step_versions(context):
     configs = [make_config(version) for version in (2, 3, 7, 8, 12)]
-    for first_asked in range(len(configs)):
+    for first_requested in range(len(configs)):
         log = _versions.VersionLog()
         for number, config in enumerate(configs):
-            assert log.take(config, keeps_step=number > first_asked)
+            assert log.take(config, keeps_step=number > first_requested)
             assert not log.take(config, keeps_step=True)
         assert log.find_news(base.Version(12)) is None
         for held in [None, *configs[:-1]]:
             version = held.version if held else base.NO_VERSION
             news = log.find_news(version)
             assert _versions.decode_news(news, held) == configs[-1]
-        is_whole = log.find_news(base.Version(8)).base_version == 0
-        assert is_whole is (first_asked == len(configs) - 1)
+        is_full = log.find_news(base.Version(8)).base_version == 0
+        assert is_full is (first_requested == len(configs) - 1)
 
 
-@given('news of a version by differences')
-def step_news(context):
+@given('an update of a version by differences')
+def step_update(context):
     log = _versions.VersionLog()
     for version in (1, 2, 3):
         log.take(make_config(version), True)
     context.held = make_config(1)
     context.news = log.find_news(context.held.version)
-    context.whole = log.find_news(base.NO_VERSION)
+    context.full = log.find_news(base.NO_VERSION)
 
 
-@when('a difference is cut short')
-def step_cut(context):
+@when('a difference is truncated')
+def step_truncated(context):
     first, second = context.news.steps
     context.news = msgspec.structs.replace(
         context.news, steps=(first[:-4], second)
     )
 
 
-@when('the last difference is left out')
-def step_left_out(context):
+@when('the last difference is missing')
+def step_missing_difference(context):
     context.news = msgspec.structs.replace(
         context.news, steps=context.news.steps[:-1]
     )
 
 
-@when('they start from another version')
+@when('the base version is another one')
 def step_other_base(context):
     context.held = make_config(2)
 
 
-@when('the whole bundle has another digest')
+@when('the full bundle has another digest')
 def step_other_digest(context):
-    context.news = msgspec.structs.replace(context.whole, digest=b'x' * 32)
+    context.news = msgspec.structs.replace(context.full, digest=b'x' * 32)
 
 
 @then('they are refused with code {code:d}')
@@ -190,24 +190,24 @@
     raise AssertionError('accepted')
 
 
-@given('{hosts:d} hosts of one data centre, {wide:d} of them with wide links')
-def step_hosts(context, hosts, wide):
+@given('{hosts:d} hosts of one data centre, {fast:d} of them with fast links')
+def step_hosts(context, hosts, fast):
     context.rows = [
-        make_row(f'h{number}', link_mbps=200 if number < wide else 10)
+        make_row(f'h{number}', link_mbps=200 if number < fast else 10)
         for number in range(hosts)
     ]
 
 
-@then('{relays:d} relays are chosen, among them all {wide:d} wide ones')
-def step_chosen(context, relays, wide):
+@then('{relays:d} relays are chosen, including all {fast:d} with fast links')
+def step_chosen(context, relays, fast):
     chosen = _relay.choose_relays(context.rows)
     assert len(chosen) == relays
-    assert sum(row.link_mbps == 200 for row in chosen) == wide
+    assert sum(row.link_mbps == 200 for row in chosen) == fast
     assert chosen == _relay.choose_relays(context.rows[::-1])
 
 
 class RelaySubject:
-    """A mesh in which relays serve from a few hosts on."""
+    """A mesh that has relays if it is large enough."""
 
     def __init__(self, hosts: int, is_first_start: bool = False):
         self.fleet = testing.MeshFleet(
@@ -218,13 +218,13 @@
             self.fleet.add_host(f'h{number}')
         self.fleet.configure(testing.make_document(1, [{}]))
         self.fleet.wait_ready()
-        self.living = list(self.fleet.hosts.values())
+        self.remaining = list(self.fleet.hosts.values())
 
     def find_relays(self) -> list[testing.MeshHost]:
         """Return the hosts that watch the store."""
         return [
             host
-            for host in self.living
+            for host in self.remaining
             if host.daemon.follower.is_watching_store
         ]
 
@@ -234,7 +234,7 @@
         return self.find_relays()
 
 
-@given('a mesh of {hosts:d} hosts in which relays serve')
+@given('a mesh of {hosts:d} hosts with relays')
 def step_mesh(context, hosts):
     context.relays = RelaySubject(hosts)
     context.cleanups.append(context.relays.fleet.stop)
@@ -253,21 +253,21 @@
     context.relays.fleet.configure(document)
 
 
-def note_readers(context) -> None:
-    """Note how often each host has read the document, and the relays."""
+def record_reads(context) -> None:
+    """Record the relays, and how often each host has read the document."""
     subject = context.relays
     context.reads = {
         host.name: host.daemon.source._config_watcher.reads
-        for host in subject.living
+        for host in subject.remaining
     }
     context.relay_names = {host.name for host in subject.find_relays()}
 
 
 @when(
-    'the store cuts all connections for {seconds:g} s and forgets its history'
+    'the store resets all connections for {seconds:g} s and drops its history'
 )
 def step_reset_store(context, seconds):
-    note_readers(context)
+    record_reads(context)
     engine = context.relays.fleet.engine
     engine.write('other', 'key', b'1')
     engine.faults.mode = testing.StoreMode.RESET
@@ -277,17 +277,15 @@
     engine.faults.slow_ms = 100
 
 
-@when(
-    'the store forgets its history {times:d} times, with a version after each'
-)
-def step_forget(context, times):
+@when('the store drops its history {times:d} times, with a version after each')
+def step_drop_history(context, times):
     subject = context.relays
     fleet = subject.fleet
-    note_readers(context)
-    # As a document takes over a link of 5 Mbit/s.
+    record_reads(context)
+    # The transfer time of a document over a link of 5 Mbit/s.
     fleet.engine.faults.slow_ms = 500
     for number in range(times):
-        # Whoever watches from before this row is told to read again.
+        # Watches from before this row have to read the table again.
         fleet.engine.write('other', 'key', b'%d' % number)
         fleet.engine.compact()
         step_write(context, number + 2)
@@ -296,16 +294,19 @@
 
 @then('only the {count:d} relays have read the document since')
 def step_only_relays(context, count):
-    readers = {
+    reading_hosts = {
         host.name
-        for host in context.relays.living
+        for host in context.relays.remaining
         if host.daemon.source._config_watcher.reads > context.reads[host.name]
     }
-    assert readers <= context.relay_names, (readers, context.relay_names)
+    assert reading_hosts <= context.relay_names, (
+        reading_hosts,
+        context.relay_names,
+    )
     assert len(context.relay_names) == count, context.relay_names
 
 
-@given('a relay that knows {count:d} members, and one who follows it')
+@given('a relay that knows {count:d} members, and a follower')
 def step_list(context, count):
     context.entries = [
         _members.MemberEntry(f'h{number}', number + 1, make_row(f'h{number}'))
@@ -317,7 +318,7 @@
         log.merge(news)
 
 
-@when('it reads the whole list again, with a member more and one less')
+@when('the relay reads the full list again, with a row added and one removed')
 def step_list_again(context):
     revision = len(context.entries) + 5
     more = _members.MemberEntry('new', revision - 1, make_row('new'))
@@ -326,10 +327,10 @@
 
 
 @then(
-    'it tells the follower of these {count:d} only, and both know the same '
+    'the follower gets these {count:d} changes only, and both know the same '
     'members'
 )
-def step_told(context, count):
+def step_follower_update(context, count):
     relay, follower = context.logs
     news = relay.find_news(follower.revision)
     assert not news.is_complete
@@ -339,8 +340,8 @@
     assert 'h0' not in follower.list_members()
 
 
-@then('all hosts have version {version:d}, and it was read whole by 2 hosts')
-def step_read_by_two(context, version):
+@then('all hosts have version {version:d}, and 2 hosts have read it in full')
+def step_full_reads(context, version):
     step_version(context, version)
     watching = context.relays.wait_relays(2)
     document = context.relays.fleet.engine.read(('config',), 'op')[0]
@@ -357,19 +358,19 @@
     subject.fleet.wait_for(
         lambda: all(
             host.daemon.state.config.version == version
-            for host in subject.living
+            for host in subject.remaining
         )
     )
 
 
-@then('all hosts that live have version {version:d}')
-def step_living(context, version):
+@then('all remaining hosts have version {version:d}')
+def step_remaining(context, version):
     step_version(context, version)
 
 
 @when('another host starts')
 def step_join(context):
-    context.relays.living.append(context.relays.fleet.add_host('h9'))
+    context.relays.remaining.append(context.relays.fleet.add_host('h9'))
 
 
 @then('all hosts know {count:d} members')
@@ -382,35 +383,35 @@
     subject = context.relays
     for host in subject.wait_relays(2):
         subject.fleet.kill(host)
-        subject.living.remove(host)
+        subject.remaining.remove(host)
 
 
-@when('both relays stand still')
-def step_freeze(context):
+@when('both relays stop answering polls')
+def step_stop_answering(context):
     subject = context.relays
     for host in subject.wait_relays(2):
         desk = host.daemon.inbound.desk
-        desk.answer = _stand_still
+        desk.answer = _never_answer
         host.daemon.follower.source.set_watching(False)
-        subject.living.remove(host)
+        subject.remaining.remove(host)
 
 
-async def _stand_still(_request):
+async def _never_answer(_request):
     await asyncio.sleep(3600)
 
 
-@when('both relays lose the store')
+@when('both relays lose contact with the store')
 def step_lose_store(context):
     subject = context.relays
     for host in subject.wait_relays(2):
         source = host.daemon.source
         for watcher in (source._config_watcher, source._member_watcher):
-            watcher.table = LostTable()
-        subject.living.remove(host)
+            watcher.table = UnavailableTable()
+        subject.remaining.remove(host)
 
 
-class LostTable:
-    """A table whose store is away."""
+class UnavailableTable:
+    """A table of a store that is down."""
 
     async def list_rows(self, start='', end=''):
         raise exceptions.PlatformError(exceptions.Code.PLATFORM_DOWN)
@@ -420,7 +421,7 @@
         raise exceptions.PlatformError(exceptions.Code.PLATFORM_DOWN)
 
 
-@when('the differences that the relays keep are damaged')
+@when('the differences kept by the relays are corrupted')
 def step_damage(context):
     subject = context.relays
     for host in subject.wait_relays(2):
@@ -436,36 +437,40 @@
         log.find_news = find_damaged
 
 
-@when('a daemon has refused a difference, and got its version elsewhere')
+@when('a daemon has rejected a difference, and got its version elsewhere')
 def step_refused_elsewhere(context):
     subject = context.relays
     relays = subject.wait_relays(2)
     context.follower = next(
-        host for host in subject.living if host not in relays
+        host for host in subject.remaining if host not in relays
     )
-    context.asked = []
+    context.requested_versions = []
     for host in relays:
         log = host.daemon.source.versions
 
         def find_news(version, find=log.find_news):
-            context.asked.append(version)
+            context.requested_versions.append(version)
             return find(version)
 
         log.find_news = find_news
-    # The version that was asked for whole is held already.
+    # The version that is requested in full is held already.
     context.follower.daemon.follower._needs_whole = True
 
 
-@then('it holds its next polls, and asks for no whole version again')
+@then('its next polls are held, and it requests no full version again')
 def step_polls_held(context):
     subject = context.relays
-    subject.fleet.wait_for(lambda: base.NO_VERSION in context.asked)
+    subject.fleet.wait_for(
+        lambda: base.NO_VERSION in context.requested_versions
+    )
     subject.fleet.wait_for(
         lambda: not context.follower.daemon.follower._needs_whole
     )
-    # Two polls that are under way may still ask for it.
-    subject.fleet.wait_for(lambda: len(context.asked) > 20)
-    assert context.asked.count(base.NO_VERSION) <= 4, context.asked
+    # Two polls that are under way may still request it.
+    subject.fleet.wait_for(lambda: len(context.requested_versions) > 20)
+    assert context.requested_versions.count(base.NO_VERSION) <= 4, (
+        context.requested_versions
+    )
 
 
 @when('the store refuses all calls for {seconds:d} s')
@@ -482,9 +487,9 @@
     context.refused = engine.stats.refused - refused
 
 
-@then('it was asked {most:d} times at the most')
-def step_asked(context, most):
-    # 5 daemons, one call in 0.1 s at first and in 0.5 to 2 s later.
+@then('it got at most {most:d} calls')
+def step_call_count(context, most):
+    # 5 daemons, each with one call in 0.1 s at first and in 0.5 to 2 s later.
     assert 5 <= context.refused <= most, context.refused
 
 
@@ -496,12 +501,12 @@
 
 @then('{count:d} hosts have read the document in the store')
 def step_readers(context, count):
-    readers = [
+    reading_hosts = [
         host.name
-        for host in context.relays.living
+        for host in context.relays.remaining
         if host.daemon.source._config_watcher.reads
     ]
-    assert len(readers) == count, readers
+    assert len(reading_hosts) == count, reading_hosts
 
 
 @then('the store was written {count:d} times')
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the first moments of a daemon."""
+"""Steps for the start of a daemon."""
 
 import asyncio
 import os
@@ -48,7 +48,7 @@
 
 
 class EchoService(transport.Service):
-    """Answers with the path."""
+    """Returns the path of the request."""
 
     def find_limits(self):
         return transport.CallerLimits()
@@ -57,7 +57,7 @@
         return transport.Response(200, [], request.url.encode())
 
 
-@given('ports that listen before their service is there')
+@given('ports that are opened before their service starts')
 def step_open_ports(context):
     context.port = testing.free_ports(1)[0]
     context.opened = ports.OpenPorts([f'{ADDRESS}:{context.port}'])
@@ -106,7 +106,7 @@
     assert 'in use' in ended.stderr, ended.stderr
 
 
-@given('a host whose daemon starts before the operator has written')
+@given('a host whose daemon starts before the first version is written')
 def step_no_version(context):
     context.fleet = testing.MeshFleet()
     context.cleanups.append(context.fleet.stop)
@@ -128,7 +128,9 @@
     context.elapsed_s = time.monotonic() - started_s
 
 
-@when('a caller asks, and the first version comes {pause:f} s later')
+@when(
+    'a caller sends a request, and the first version arrives {pause:f} s later'
+)
 def step_ask_before(context, pause):
     async def run():
         asking = asyncio.ensure_future(_ask(context))
@@ -139,7 +141,7 @@
     context.fleet.run(run())
 
 
-@when('a caller asks')
+@when('a caller sends a request')
 def step_ask(context):
     context.fleet.run(_ask(context))
 
@@ -158,22 +160,22 @@
     assert not context.host.books.runs
 
 
-@then('it is refused at once as not run, with a time to come back')
+@then('it is refused at once as not run, with a Retry-After time')
 def step_refused_at_once(context):
     _check_refused(context)
     held = [item for item in [context.elapsed_s] if item > 0.3]
     assert not held, held
 
 
-@then('it is refused within {limit:f} s as not run, with a time to come back')
+@then('it is refused within {limit:f} s as not run, with a Retry-After time')
 def step_refused_soon(context, limit):
     _check_refused(context)
-    # Held, and not until the usual end of a start.
+    # It was held, but not until the usual end of a start.
     assert context.elapsed_s > limit / 2, context.elapsed_s
 
 
-@given('two hosts, the first of which hears nothing new of the store')
-def step_deaf(context):
+@given('two hosts, the first of which gets no updates of the store')
+def step_no_updates(context):
     context.fleet = testing.MeshFleet()
     context.cleanups.append(context.fleet.stop)
     context.first = context.fleet.add_host('h0', 'ledger')
@@ -235,26 +237,29 @@
     assert [row.target for row in rows] == ['i-next'], rows
 
 
-@given('a table of members with a row that a host has told')
-def step_told(context):
+@given('a member table with a row from the answer of a host')
+def step_received_row(context):
     context.member_table = _fleet.FleetTable()
     context.stored = testing.make_member_row('h0', target='i-1')
-    context.told = testing.make_member_row('h0', target='i-2')
+    context.received = testing.make_member_row('h0', target='i-2')
     context.member_table.replace({'h0': context.stored})
-    assert context.member_table.take_told(context.told)
-    assert not context.member_table.take_told(context.told)
+    assert context.member_table.take_told(context.received)
+    assert not context.member_table.take_told(context.received)
 
 
-@then('the told row holds while the stored one stays')
-def step_told_holds(context):
+@then('that row is used while the stored one is unchanged')
+def step_received_row_used(context):
     other = testing.make_member_row('h1')
     context.member_table.replace({'h0': context.stored, 'h1': other})
-    assert context.member_table.members == {'h0': context.told, 'h1': other}
+    assert context.member_table.members == {
+        'h0': context.received,
+        'h1': other,
+    }
     rows = context.member_table.by_set['calendar']
-    assert context.told in rows or other in rows
+    assert context.received in rows or other in rows
 
 
-@then('the next stored row replaces it')
+@then('the next stored row replaces that row')
 def step_stored_replaces(context):
     newer = testing.make_member_row('h0', target='i-3')
     context.member_table.replace({'h0': newer})
@@ -263,24 +268,24 @@
     assert context.member_table.members == {'h0': context.stored}
 
 
-@then('a host without a row is not believed')
-def step_not_believed(context):
+@then('an answer of a host without a stored row is ignored')
+def step_row_ignored(context):
     context.member_table.replace({})
-    assert not context.member_table.take_told(context.told)
+    assert not context.member_table.take_told(context.received)
     assert not context.member_table.members
 
 
 @then('the daemon that joined has not read the document in the store')
 def step_documents(context):
-    joined = context.relays.living[-1].daemon
+    joined = context.relays.remaining[-1].daemon
     assert not joined.follower.is_watching_store
     assert joined.source._config_watcher.reads == 0
 
 
-@when('a daemon starts whose row names relays that are gone')
+@when('a daemon starts while the member rows still list the killed relays')
 def step_start_without_relays(context):
     subject = context.relays
-    subject.living.append(subject.fleet.add_host('h9'))
+    subject.remaining.append(subject.fleet.add_host('h9'))
 
 
 @given('a peer that sends its answer {manner}')
@@ -288,7 +293,7 @@
     context.is_silent = 'silence' in manner
 
 
-@then('the exchange with {silence:f} s of silence allowed {result}')
+@then('the exchange with a silence limit of {silence:f} s {result}')
 def step_silence(context, silence, result):
     async def answer(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
@@ -337,18 +342,18 @@
 
 
 class CompiledModules:
-    """The daemon's modules in a folder of their own, without sources."""
+    """The daemon's compiled modules in a separate folder, without sources."""
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
 
     def build(self) -> None:
-        """Compile them as the build does."""
+        """Compile the modules as the build does."""
         script = ROOT / 'scripts' / 'compile_daemon.py'
         subprocess.run([sys.executable, script, self.folder], check=True)
 
     def list_files(self) -> dict[pathlib.Path, int]:
-        """Return all files, and the inode of each: a new one is another."""
+        """Return the inode of each file; a rewritten file has a new one."""
         return {
             path: path.stat().st_ino
             for path in self.folder.rglob('*')
@@ -384,7 +389,7 @@
     assert context.compiled.list_files() == context.files
 
 
-@when('a compiled module whose source is gone lies among them')
+@when('a compiled module without a source is added to them')
 def step_old_module(context):
     context.old = context.compiled.folder / 'sedgering' / 'gone.pyc'
     context.old.write_bytes(b'')
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps over one daemon and its store, on a virtual clock."""
+"""Steps for one daemon and its store, on a virtual clock."""
 
 import asyncio
 import random
@@ -17,32 +17,32 @@
 ADDRESS = '127.0.0.1'
 HOST = base.HostId('h1')
 TARGET_SET = base.TargetSetName('calendar')
-#: Of a call of the store.
+#: Duration of a call of the store.
 ANSWER_S = 0.004
-#: Until the first daemon has its row in the store.
+#: Time until the row of the first daemon is in the store.
 SETTLE_S = 3.0
-#: From the loss of the store to the end of the first daemon.
+#: Time from the loss of the store to the end of the first daemon.
 LEAVING_S = 3.0
 GRACE_MS = 6000
-#: From the start of the second daemon to the report.
+#: Time from the start of the second daemon to the delayed report.
 STARTED_S = 1.5
-#: From one report to the next one.
+#: Interval between reports.
 REPORT_S = 1.5
-LOOK_S = 0.01
-#: Moments at which the store is back, from the report.
+CHECK_INTERVAL_S = 0.01
+#: Times of the return of the store, relative to the report.
 OFFSETS_S = tuple(step / 50 for step in range(-15, 16))
 LATE_SEQUENCE = 22
-#: Of the pauses after which the second daemon asks the store again.
+#: Seeds of the retry pauses of the second daemon.
 SEEDS = range(4)
 
 
 class VirtualCarrier(_carrier.StoreCarrier):
-    """Carries calls to a store in the same event loop, or loses them.
+    """Passes calls to a store in the same event loop, or loses them.
 
     Parameters
     ----------
     service : StoreService
-        Answers.
+        Answers the calls.
     """
 
     def __init__(self, service: testing.StoreService):
@@ -51,7 +51,7 @@
         self._calls: set[asyncio.Task] = set()
 
     async def send(self, call: _carrier.StoreCall) -> _carrier.StoreAnswer:
-        """Send a call, if the store is there."""
+        """Send a call; it fails while the store is down."""
         if self.is_away:
             raise _carrier.CallNotSent('away')
         task = asyncio.create_task(self._answer(call))
@@ -63,16 +63,16 @@
         return task.result()
 
     def renew(self) -> None:
-        """Keep no connections."""
+        """Do nothing, as there are no connections."""
 
     def lose(self) -> None:
-        """Lose the store, and all that it has to answer."""
+        """Take the store down, and lose its pending answers."""
         self.is_away = True
         for task in self._calls:
             task.cancel()
 
     def find(self) -> None:
-        """Have the store back."""
+        """Bring the store back."""
         self.is_away = False
 
     async def _answer(self, call: _carrier.StoreCall) -> _carrier.StoreAnswer:
@@ -85,8 +85,8 @@
         return _carrier.StoreAnswer(response.status, response.body)
 
 
-class ReturningStore:
-    """One host whose daemon starts again while the store is away."""
+class RestartedHost:
+    """One host whose daemon restarts while the store is down."""
 
     def __init__(self, ports: list[int], seed: int):
         self.seed = seed
@@ -98,7 +98,7 @@
         self.daemon: mesh.MeshDaemon | None = None
 
     async def start_daemon(self) -> None:
-        """Start the daemon, or its next lifetime."""
+        """Start the daemon, or its next process."""
         source = platform.make_mesh_source(
             platform.StoreClient(self.carrier),
             HOST,
@@ -121,7 +121,7 @@
         await self.daemon.start()
 
     def report(self, sequence: int) -> None:
-        """Let the target say that it is ready."""
+        """Send a report of the target that it is ready."""
         self.daemon.take_report(
             mesh.TargetReport(
                 target=base.TargetName('i-1'),
@@ -133,8 +133,8 @@
             )
         )
 
-    async def leave(self, says_goodbye: bool) -> None:
-        """Let the first daemon leave without the store."""
+    async def leave(self, deregisters: bool) -> None:
+        """Shut the first daemon down while the store is down."""
         await self.start_daemon()
         self.report(1)
         await asyncio.sleep(SETTLE_S)
@@ -142,14 +142,14 @@
         self.carrier.lose()
         leaving = asyncio.create_task(self.daemon.leave(GRACE_MS))
         await asyncio.sleep(LEAVING_S / 2)
-        if says_goodbye:
+        if deregisters:
             self.daemon.take_leave(self.daemon.state.side.target.lifetime)
         await asyncio.sleep(LEAVING_S / 2)
         await self.daemon.close()
         await leaving
 
     async def start_again(self, offset_s: float) -> None:
-        """Start the next daemon; a report comes, and the store is back."""
+        """Start the next daemon, send a report, and bring the store back."""
         await self.start_daemon()
         loop = asyncio.get_running_loop()
         loop.call_later(STARTED_S + offset_s, self.carrier.find)
@@ -157,43 +157,45 @@
         self.report(LATE_SEQUENCE)
 
     async def was_open(self) -> bool:
-        """Say whether the gate opens until the next report would come."""
+        """Return whether the gate opens before the next report is due."""
         gate = self.daemon.state.side.gate
         end_s = asyncio.get_running_loop().time() + REPORT_S
         while asyncio.get_running_loop().time() < end_s:
             if gate.is_open:
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         return False
 
 
-async def play_goodbye(
+async def play_deregistration(
     offset_s: float, seed: int, ports: list[int]
 ) -> tuple[bool, mesh.MemberRow | None]:
     """Return whether the gate opened, and the row of the daemon."""
-    store = ReturningStore(ports, seed)
-    await store.leave(True)
-    await store.start_again(offset_s)
-    was_open = await store.was_open()
-    row = store.daemon.state.side.row
-    await store.daemon.close()
+    subject = RestartedHost(ports, seed)
+    await subject.leave(True)
+    await subject.start_again(offset_s)
+    was_open = await subject.was_open()
+    row = subject.daemon.state.side.row
+    await subject.daemon.close()
     return was_open, row
 
 
-async def play_stay(offset_s: float, seed: int, ports: list[int]) -> bool:
-    """Return whether the gate is open soon after a second report."""
-    store = ReturningStore(ports, seed)
-    await store.leave(False)
-    await store.start_again(offset_s)
+async def play_running_target(
+    offset_s: float, seed: int, ports: list[int]
+) -> bool:
+    """Return whether the gate opens after a second report."""
+    subject = RestartedHost(ports, seed)
+    await subject.leave(False)
+    await subject.start_again(offset_s)
     await asyncio.sleep(REPORT_S)
-    store.report(LATE_SEQUENCE + 1)
-    is_open = await store.was_open()
-    await store.daemon.close()
+    subject.report(LATE_SEQUENCE + 1)
+    is_open = await subject.was_open()
+    await subject.daemon.close()
     return is_open
 
 
 def play_all(play) -> dict:
-    """Play each moment of the store's return; return what came of it."""
+    """Run `play` for each return time of the store; return the results."""
     ports = testing.free_ports(5)
     return {
         (offset_s, seed): model.run_virtual(play(offset_s, seed, ports))
@@ -202,23 +204,23 @@
     }
 
 
-@when('a target says goodbye to a leaving daemon while the store is away')
-def step_goodbye(context):
-    context.play = play_goodbye
+@when('a target deregisters with a leaving daemon while the store is down')
+def step_deregister(context):
+    context.play = play_deregistration
 
 
-@when('a daemon leaves while the store is away')
+@when('a daemon leaves while the store is down')
 def step_leaves(context):
-    context.play = play_stay
+    context.play = play_running_target
 
 
-@when('the daemon starts again, and a late report of the target comes')
+@when('the daemon starts again, and a delayed report of the target arrives')
 @when('the daemon starts again, and its target reports twice')
 def step_returns(context):
     context.found = play_all(context.play)
 
 
-@then("at no moment of the store's return does the gate open for it")
+@then('the gate never opens for it, whenever the store returns')
 def step_never_open(context):
     opened = [
         at_s for at_s, (was_open, _row) in context.found.items() if was_open
@@ -226,7 +228,7 @@
     assert not opened, opened
 
 
-@then('no row of the new daemon says that it is there')
+@then('the new daemon publishes no row for it')
 def step_no_row(context):
     rows = [
         row for _was_open, row in context.found.values() if row is not None
@@ -234,7 +236,7 @@
     assert not rows, rows
 
 
-@then("at each moment of the store's return the gate is open for it")
+@then('the gate opens for it, whenever the store returns')
 def step_open(context):
     closed = [at_s for at_s, is_open in context.found.items() if not is_open]
     assert not closed, closed
--- a/features/steps/suspend_steps.py
+++ b/features/steps/suspend_steps.py
@@ -1,4 +1,4 @@
-"""Steps over a daemon whose host is suspended."""
+"""Steps for a daemon whose host is suspended."""
 
 import asyncio
 import pathlib
@@ -15,16 +15,16 @@
 from soak import _probes
 from soak import _world
 
-PATIENCE_S = 20.0
-LOOK_S = 0.05
+TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 
 
 async def _wait_for_target(daemon) -> None:
-    """Wait until the target beside a daemon answers."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Wait until the target of a daemon answers."""
+    async with asyncio.timeout(TIMEOUT_S):
         answer = None
         while answer is None or answer.status != 200:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             answer = await _probes.ask(
                 daemon.address,
                 _daemons.CALLERS_PORT,
@@ -34,8 +34,8 @@
 
 
 @given(
-    'a daemon, a target, and a request of {stated_s:d} s whose work takes '
-    '{work_s:d} s'
+    'a daemon, a target, and a request with a timeout of {stated_s:d} s that '
+    'takes {work_s:d} s'
 )
 def step_daemon(context, stated_s, work_s):
     context.stated_ms = 1000 * stated_s
@@ -44,10 +44,11 @@
 
 @when('its host is suspended for {for_s:g} s after {after_s:g} s')
 def step_suspended(context, for_s, after_s):
-    """Suspend a daemon that runs as a process of its own.
+    """Suspend a daemon that runs in its own process.
 
     The target, which is not suspended, ends its work 1.5 s after the host
-    has woken up, when 2 s more would be left on a clock that stood still.
+    resumes. On a clock that stops during the suspension, 2 s would be left
+    then.
     """
     fields = [
         ('Host', _callers.HOST_HEADER),
@@ -59,14 +60,15 @@
     async def run(folder):
         settings = _world.WorldSettings(1, 1, callers=0, long_callers=1)
         world = _world.World(pathlib.Path(folder), settings)
-        # They only say that the routes of long requests are there.
+        # These callers are only configured to create the routes of long
+        # requests.
         world.long_callers = []
         try:
             await world._start()
             (daemon,) = world.daemons
             await _wait_for_target(daemon)
             connection = await transport.connect(
-                daemon.address, _daemons.CALLERS_PORT, PATIENCE_S
+                daemon.address, _daemons.CALLERS_PORT, TIMEOUT_S
             )
             asking = asyncio.ensure_future(
                 connection.exchange(
@@ -75,7 +77,7 @@
             )
             await asyncio.sleep(after_s)
             await daemon.suspend(for_s)
-            context.answer = await asyncio.wait_for(asking, PATIENCE_S)
+            context.answer = await asyncio.wait_for(asking, TIMEOUT_S)
             connection.close()
         finally:
             await world.stop()
@@ -84,6 +86,6 @@
         asyncio.run(run(folder))
 
 
-@then('it is told {status:d}')
-def step_told(context, status):
+@then('the caller gets status {status:d}')
+def step_status(context, status):
     assert context.answer.status == status, context.answer
--- a/features/steps/writer_steps.py
+++ b/features/steps/writer_steps.py
@@ -1,4 +1,4 @@
-"""Steps over rows, reports and documents of other writers."""
+"""Steps for rows, reports and documents of other writers."""
 
 import asyncio
 import base64
@@ -23,26 +23,26 @@
 
 MEMBERS = 'sedgering_members'
 EXAMPLES = 400
-STRANGE_BYTES = {
+INVALID_BYTES = {
     'of bytes': b'\xff\xfe\x00{',
     'of nothing': b'',
     'of a list': b'[1, 2]',
     'of null': b'null',
-    # Deeper than any decoder follows.
-    'nested without end': b'{"new":' + b'[' * 100_000,
+    # Deeper than the recursion limit of any decoder.
+    'nested too deeply': b'{"new":' + b'[' * 100_000,
 }
-#: Values that do not fit into a table of a feature.
+#: Values that are too long for a table of a feature.
 LONG_VALUES = {'"a year"': '"31536000s"', '"endless"': f'"{"9" * 400}s"'}
-STRANGE_ROWS = (
-    *STRANGE_BYTES,
+INVALID_ROWS = (
+    *INVALID_BYTES,
     'without target',
     'of port "80"',
     'of port 70000',
     'of state "unheard-of"',
     'of host "hall-1"',
 )
-STRANGE_DOCUMENTS = (
-    *STRANGE_BYTES,
+INVALID_DOCUMENTS = (
+    *INVALID_BYTES,
     'without version',
     'without resources',
     'of version 2',
@@ -59,24 +59,24 @@
     'of resources [{"resource_type":"limits","spec":{"max_header_bytes":9,'
     '"max_body_bytes":9,"header_timeout":"0s","idle_timeout":"1s"}}]',
 )
-#: Time in which a daemon that was told of something has acted on it.
+#: Time in which daemons have processed a change.
 SETTLE_S = 1.0
 
 
-def spoil(fields: dict, kind: str) -> bytes:
-    """Encode an object with one strange thing about it.
+def encode_invalid(fields: dict, kind: str) -> bytes:
+    """Encode an object with one invalid detail.
 
     Parameters
     ----------
     fields : dict
-        Of the sound object.
+        Fields of the valid object.
     kind : str
-        One of `STRANGE_BYTES`, ``cut short``, ``without FIELD``, or
-        ``of FIELD VALUE`` with a value as it is to stand there.
+        One of `INVALID_BYTES`, ``truncated``, ``without FIELD``, or ``of FIELD
+        VALUE`` with the literal JSON value.
     """
-    if kind in STRANGE_BYTES:
-        return STRANGE_BYTES[kind]
-    if kind == 'cut short':
+    if kind in INVALID_BYTES:
+        return INVALID_BYTES[kind]
+    if kind == 'truncated':
         return json.dumps(fields).encode()[:-5]
     word, _space, rest = kind.partition(' ')
     name, _space, value = rest.partition(' ')
@@ -84,30 +84,30 @@
     if word == 'without':
         return json.dumps(others).encode()
     value = LONG_VALUES.get(value, value)
-    # The value as it stands: an encoder would write another one.
+    # The literal value: an encoder would write another one.
     body = json.dumps({**others, name: '@'})
     return body.replace('"@"', value).encode()
 
 
 def make_row_value(kind: str, host: str = 'x') -> bytes:
-    """Encode a member row with one strange thing about it."""
-    row = testing.make_member_row(host, target='i-strange', port=9)
-    return spoil(msgspec.to_builtins(row), kind)
+    """Encode a member row with one invalid detail."""
+    row = testing.make_member_row(host, target='i-invalid', port=9)
+    return encode_invalid(msgspec.to_builtins(row), kind)
 
 
-class LoggedErrors(logging.Handler):
-    """Counts the log lines that carry a number."""
+class LogCollector(logging.Handler):
+    """Collects log records and their error codes."""
 
     def __init__(self):
         super().__init__()
         self.records: list[logging.LogRecord] = []
 
     def emit(self, record):
-        """Keep a line."""
+        """Store a record."""
         self.records.append(record)
 
     def list_codes(self) -> list[int]:
-        """Return the numbers of errors and refused reports."""
+        """Return the codes of errors and refused reports."""
         return [
             record.code
             for record in self.records
@@ -115,9 +115,9 @@
         ]
 
 
-def watch_log(context) -> None:
-    """Keep what is logged until the scenario ends."""
-    context.logged = LoggedErrors()
+def collect_log(context) -> None:
+    """Collect log records until the scenario ends."""
+    context.logged = LogCollector()
     root = logging.getLogger()
     root.addHandler(context.logged)
     logging.disable(logging.NOTSET)
@@ -143,17 +143,17 @@
 
 
 @then('the row {kind} of host "{host}" names a target')
-def step_row_taken(context, kind, host):
+def step_row_accepted(context, kind, host):
     row = _members.decode_row(host, make_row_value(kind, host))
-    assert row.target == 'i-strange'
+    assert row.target == 'i-invalid'
 
 
-@when('another writer puts rows of every strange kind')
-def step_strange_rows(context):
-    watch_log(context)
+@when('another writer puts invalid rows of every kind')
+def step_invalid_rows(context):
+    collect_log(context)
     engine = context.mesh.fleet.engine
-    for number, kind in enumerate(STRANGE_ROWS):
-        key = f'strange-{number}'
+    for number, kind in enumerate(INVALID_ROWS):
+        key = f'invalid-{number}'
         engine.write(MEMBERS, key, make_row_value(kind, key))
 
 
@@ -173,9 +173,9 @@
     )
 
 
-@then('each daemon has logged one error {code:d} for each strange row')
+@then('each daemon has logged one error {code:d} for each invalid row')
 def step_logged_rows(context, code):
-    expected = len(STRANGE_ROWS) * len(context.mesh.fleet.hosts)
+    expected = len(INVALID_ROWS) * len(context.mesh.fleet.hosts)
 
     def count():
         return context.logged.list_codes().count(code)
@@ -184,7 +184,7 @@
     assert count() == expected, (count(), expected)
 
 
-@when('version 2 is written beside them')
+@when('version 2 is written after them')
 def step_version(context):
     context.mesh.configure({'name': 'later', 'prefix': '/later/'})
 
@@ -196,28 +196,28 @@
         assert answer.status == 200, answer
 
 
-@then('a page of the store with such a value has the other rows whole')
+@then('a page of the store with such a value keeps the other rows intact')
 def step_page(context):
     good = {
         'key': 'good',
         'value': base64.b64encode(b'{}').decode(),
         'schema_version': 3,
     }
-    strange = [
-        {'key': f'strange-{number}', 'value': value, 'schema_version': 4}
+    invalid = [
+        {'key': f'invalid-{number}', 'value': value, 'schema_version': 4}
         for number, value in enumerate(('a', '=', 'ä', 5, None, [], {}))
     ]
-    page = {'rows': [*strange, good], 'schema_version': 5}
+    page = {'rows': [*invalid, good], 'schema_version': 5}
     rows = _store.decode_rows(json.dumps(page).encode())
     found = {row.key: (row.value, row.is_readable) for row in rows}
     assert found.pop('good') == (b'{}', True)
     assert set(found.values()) == {(b'', False)}, found
-    assert len(found) == len(strange)
+    assert len(found) == len(invalid)
 
 
 @when('another writer puts the row of a target of set "{name}"')
 def step_unknown_set(context, name):
-    watch_log(context)
+    collect_log(context)
     row = testing.make_member_row('x', target_set=name, port=9)
     value = msgspec.json.encode(row)
     context.mesh.fleet.engine.write(MEMBERS, 'x', value)
@@ -229,8 +229,8 @@
     assert not context.logged.list_codes(), context.logged.records
 
 
-@when('another writer spoils the row of the first host')
-def step_spoil_own(context):
+@when('another writer corrupts the row of the first host')
+def step_corrupt_own(context):
     subject = context.mesh
     subject.fleet.engine.write(MEMBERS, subject.first.name, b'\xff')
 
@@ -252,15 +252,15 @@
             for host in subject.fleet.hosts.values()
         )
 
-    # What was told before the store's word must not count.
+    # A row received before the change of the store must not count.
     subject.fleet.run(asyncio.sleep(SETTLE_S))
     subject.fleet.wait_for(is_known)
     (row,) = subject.fleet.engine.list_rows(MEMBERS, name, name + '\0')
     assert _members.decode_row(name, row.value).target == 'i-hall-1'
 
 
-@then('news with a strange row have the other rows, and the version')
-def step_strange_news(context):
+@then('an update with an invalid row keeps the other rows and the version')
+def step_invalid_update(context):
     rows = {
         host: msgspec.to_builtins(testing.make_member_row(host))
         for host in ('a', 'b', 'c')
@@ -286,19 +286,19 @@
 
 
 def send_report(context, target, report) -> transport.Response:
-    """Send the first host a report with one strange thing about it."""
+    """Send the first host a report with one invalid detail."""
     verb, _space, kind = report.partition(' ')
     subject = context.mesh
-    sound = testing.make_report(
+    valid = testing.make_report(
         target, verb, 'calendar', 'draining', 99, born_ms=30
     )
-    body = spoil(json.loads(sound.body), kind)
+    body = encode_invalid(json.loads(valid.body), kind)
     port = subject.first.addresses.reports_port
-    return subject.fleet.call(port, sound.url, body)
+    return subject.fleet.call(port, valid.url, body)
 
 
 def check_refused(context, target) -> None:
-    """Send all reports of the table; each must be refused."""
+    """Send all reports of the table, and check that each is refused."""
     side = context.mesh.first.daemon.state.side
     before = side.target.report, side.target.rival
     for row in context.table:
@@ -338,7 +338,7 @@
 
 @when('another writer sends the first host {count:d} reports without a state')
 def step_many_reports(context, count):
-    watch_log(context)
+    collect_log(context)
     for _ in range(count):
         answer = send_report(context, 'i-another', 'heartbeat without state')
         assert answer.status == 400
@@ -349,15 +349,15 @@
     assert context.logged.list_codes() == [code], context.logged.list_codes()
 
 
-@when('the target of the first host reports with a field that is not known')
+@when('the target of the first host reports with an unknown field')
 def step_new_field(context):
     target = context.mesh.first.books.target
     answer = send_report(context, target, 'heartbeat of new {"deep":[1]}')
     assert answer.status == 200, answer
 
 
-@then('that report is taken')
-def step_taken(context):
+@then('that report is accepted')
+def step_accepted(context):
     target = context.mesh.first.daemon.state.side.target
     assert target.report.state is mesh.TargetState.DRAINING
 
@@ -365,29 +365,29 @@
 # Documents.
 
 
-@when('documents of every strange kind are written, one after the other')
-def step_strange_documents(context):
+@when('invalid documents of every kind are written, one after the other')
+def step_invalid_documents(context):
     subject = context.mesh
-    sound = json.loads(testing.make_document(2, subject.routes))
-    for kind in STRANGE_DOCUMENTS:
-        subject.fleet.engine.write('op', 'config', spoil(sound, kind))
+    valid = json.loads(testing.make_document(2, subject.routes))
+    for kind in INVALID_DOCUMENTS:
+        subject.fleet.engine.write('op', 'config', encode_invalid(valid, kind))
         subject.fleet.run(asyncio.sleep(SETTLE_S / 10))
     subject.fleet.run(asyncio.sleep(SETTLE_S))
 
 
-@then('each strange document is refused with code {code:d}')
+@then('each invalid document is refused with code {code:d}')
 def step_documents_refused(context, code):
-    sound = json.loads(testing.make_document(2, [{}]))
-    for kind in (*STRANGE_DOCUMENTS, 'cut short'):
+    valid = json.loads(testing.make_document(2, [{}]))
+    for kind in (*INVALID_DOCUMENTS, 'truncated'):
         try:
-            platform.decode_document(spoil(sound, kind))
+            platform.decode_document(encode_invalid(valid, kind))
         except exceptions.BundleError as error:
             assert error.code == code, (kind, error)
         else:
             raise AssertionError(kind)
 
 
-@then('all daemons still have version 1, and read the store on')
+@then('all daemons still have version 1, and still watch the store')
 def step_still_first(context):
     for host in context.mesh.fleet.hosts.values():
         assert host.daemon.state.config.version == 1
@@ -404,25 +404,25 @@
 )
 
 
-@then('any value in any place of a document is taken or refused as a bundle')
+@then('any value anywhere in a document is accepted or refused as a bundle')
 def step_any_document(context):
     split = [
         {'service': 'calendar', 'weight': 1},
         {'service': 'ledger', 'weight': 2},
     ]
-    sound = json.loads(testing.make_document(2, [{}, {'split': split}]))
-    places = list(_list_places(sound))
+    valid = json.loads(testing.make_document(2, [{}, {'split': split}]))
+    paths = list(_list_paths(valid))
 
     @hypothesis.settings(
         max_examples=EXAMPLES, deadline=None, derandomize=True, database=None
     )
-    @hypothesis.given(st.sampled_from(places), SCALARS)
-    def check(place, value):
-        document = copy.deepcopy(sound)
+    @hypothesis.given(st.sampled_from(paths), SCALARS)
+    def check(path, value):
+        document = copy.deepcopy(valid)
         parent = document
-        for step in place[:-1]:
+        for step in path[:-1]:
             parent = parent[step]
-        parent[place[-1]] = value
+        parent[path[-1]] = value
         try:
             data = json.dumps(document).encode()
             config = platform.decode_document(data)
@@ -433,7 +433,7 @@
     check()
 
 
-def _list_places(value, place=()):
+def _list_paths(value, path=()):
     """Return the paths of all values of a document."""
     items = []
     if isinstance(value, dict):
@@ -441,5 +441,5 @@
     elif isinstance(value, list):
         items = list(enumerate(value))
     for step, item in items:
-        yield (*place, step)
-        yield from _list_places(item, (*place, step))
+        yield (*path, step)
+        yield from _list_paths(item, (*path, step))
--- a/features/writers.feature
+++ b/features/writers.feature
@@ -1,11 +1,12 @@
-Feature: What another writer says names no target, and harms nothing
-  Rows and reports may come from another writer: fields are missing or of
-  another type, a state or a target set is not known, bytes cannot be read.
-  One such row made the whole answer of the store unreadable, was logged at
-  each read or led to a name look-up; such a report was taken for the word of
-  the local target, or ended the connection without an answer.
+Feature: Invalid rows, reports and documents of other writers do no harm
+  Rows and reports may come from another writer, with fields that are missing
+  or of another type, an unknown state or target set, or bytes that cannot be
+  decoded.  Guards against these failures: one such row made the whole answer of
+  the store unreadable, was logged at each read, or caused a name look-up; such
+  a report was taken for one of the local target, or its connection was closed
+  without an answer.
 
-  Scenario Outline: Rows of the members table that name no target
+  Scenario Outline: Invalid rows of the members table
     Then the row <value> of host "x" is refused with code 6101
 
     Examples:
@@ -14,8 +15,8 @@
       | of nothing            |
       | of a list             |
       | of null               |
-      | cut short             |
-      | nested without end    |
+      | truncated             |
+      | nested too deeply     |
       | without target        |
       | without state         |
       | of state "unheard-of" |
@@ -38,41 +39,41 @@
       | of target_set "a b"   |
       | of host "hall-1"      |
 
-  Scenario: A row with fields that are not known is a row
+  Scenario: A row with unknown fields is valid
     Then the row of new 1 of host "x" names a target
 
-  Scenario: Rows of another writer leave the others as they are
+  Scenario: Invalid rows of another writer do not affect the other rows
     Given a mesh with two calendar hosts
-    When another writer puts rows of every strange kind
+    When another writer puts invalid rows of every kind
     And a third host starts
     Then all daemons know the hosts "hall-1, hall-2, hall-3" and no other
-    And each daemon has logged one error 6101 for each strange row
+    And each daemon has logged one error 6101 for each invalid row
     When the store drops its history
-    And version 2 is written beside them
-    Then each daemon has logged one error 6101 for each strange row
+    And version 2 is written after them
+    Then each daemon has logged one error 6101 for each invalid row
     And 10 requests are all answered 200
 
-  Scenario: A value of a row that is no base64 leaves the other rows readable
-    Then a page of the store with such a value has the other rows whole
+  Scenario: A value that is not base64 does not affect the other rows
+    Then a page of the store with such a value keeps the other rows intact
 
-  Scenario: A row of a target set that no bundle names is nobody's choice
+  Scenario: A row of a target set that is in no bundle is never chosen
     Given a mesh with two calendar hosts
     When another writer puts the row of a target of set "nobody"
     Then 10 requests are all answered 200
     And no daemon has logged an error
 
-  Scenario: A row that another writer spoilt is written again by its host
+  Scenario: A host rewrites its row after another writer has corrupted it
     Given a mesh with two calendar hosts
-    When another writer spoils the row of the first host
+    When another writer corrupts the row of the first host
     Then the store has the row of the first host again
     When another writer removes the row of the first host
     Then the store has the row of the first host again
     And 10 requests are all answered 200
 
-  Scenario: A relay that passes on a strange row is still followed
-    Then news with a strange row have the other rows, and the version
+  Scenario: An invalid row in the update of a relay does not affect the rest
+    Then an update with an invalid row keeps the other rows and the version
 
-  Scenario: Reports of another writer are refused and change nothing
+  Scenario: Invalid reports are refused and change nothing
     Given a mesh with two calendar hosts
     And the target of the first host said "ready" in a lifetime born at 10
     Then these reports to the first host are refused with 400 and change nothing
@@ -81,8 +82,8 @@
       | heartbeat of nothing                  | 6001 |
       | heartbeat of a list                   | 6001 |
       | heartbeat of null                     | 6001 |
-      | heartbeat cut short                   | 6001 |
-      | heartbeat nested without end          | 6001 |
+      | heartbeat truncated                   | 6001 |
+      | heartbeat nested too deeply           | 6001 |
       | heartbeat without service             | 6001 |
       | heartbeat without address             | 6001 |
       | heartbeat without zone                | 6001 |
@@ -121,8 +122,8 @@
       | heartbeat of id "i-another"           | 6003 |
       | deregister of bytes                   | 6001 |
       | deregister of a list                  | 6001 |
-      | deregister cut short                  | 6001 |
-      | deregister nested without end         | 6001 |
+      | deregister truncated                  | 6001 |
+      | deregister nested too deeply          | 6001 |
       | deregister without born               | 6004 |
       | deregister of born "10"               | 6001 |
       | deregister of born true               | 6001 |
@@ -134,25 +135,25 @@
       | heartbeat of state "unheard-of"       | 6001 |
     And a report whose path has the id "a|b" is refused with code 6001
 
-  Scenario: Two hundred reports of the same strange kind are one log line
+  Scenario: Two hundred invalid reports of the same kind give one log line
     Given a mesh with two calendar hosts
     When another writer sends the first host 200 reports without a state
     Then the first host has logged one line of code 6001
 
-  Scenario: Fields of a report that are not known are left out
+  Scenario: Unknown fields of a report are ignored
     Given a mesh with two calendar hosts
-    When the target of the first host reports with a field that is not known
-    Then that report is taken
+    When the target of the first host reports with an unknown field
+    Then that report is accepted
 
-  Scenario: An operator's document that cannot be read changes nothing
+  Scenario: An operator's document that cannot be decoded changes nothing
     Given a mesh with two calendar hosts
-    When documents of every strange kind are written, one after the other
-    Then all daemons still have version 1, and read the store on
-    When version 2 is written beside them
+    When invalid documents of every kind are written, one after the other
+    Then all daemons still have version 1, and still watch the store
+    When version 2 is written after them
     Then 10 requests are all answered 200
 
   Scenario: Each strange document is refused as a bundle
-    Then each strange document is refused with code 1101
+    Then each invalid document is refused with code 1101
 
-  Scenario: Any document is decoded or refused, and nothing else
-    Then any value in any place of a document is taken or refused as a bundle
+  Scenario: Any document is either decoded or refused
+    Then any value anywhere in a document is accepted or refused as a bundle
