--- a/features/connections.feature
+++ b/features/connections.feature
@@ -1,18 +1,19 @@
-Feature: A connection that is about to open
-  Seen: a daemon whose store resets connections did not end, once in some
-  twelve stops, and its watches went on; the tests' process never ended.
-  Cause: asyncio.wait_for returns the result of what has just ended instead of
-  the cancellation that comes in the same turn of the loop, so the task that
-  was to end goes on.
-  Proof: attempts that are cancelled in each turn until they would be done.
+Feature: Cancellation of a connection attempt
+  Guards against a lost cancellation: when the store reset connections, a
+  daemon failed to stop about once in twelve stops, its watch tasks kept
+  running, and the process of the tests never ended.  If the inner operation completes in the iteration of the event
+  loop in which the task is cancelled, asyncio.wait_for returns the result
+  instead of raising the cancellation, and the task continues.
+  The test therefore cancels attempts after each number of iterations, up to
+  more than an attempt needs.
 
-  Scenario: An attempt to connect ends in whichever turn it is cancelled
+  Scenario: An attempt to connect can be cancelled at any time
     Given a server that accepts connections
-    When attempts to connect to it are cancelled in each of their turns
-    Then each of these attempts has ended as cancelled
-    And none of them has left a connection open
+    When attempts to connect to it are cancelled after each number of iterations
+    Then each unfinished attempt was cancelled
+    And no attempt has left a connection open
 
-  Scenario: An attempt to connect ends in time
+  Scenario: An attempt to connect times out
     Given a server that accepts no connections
-    When an attempt to connect to it has 100 ms
-    Then it has failed, and was not refused
+    When an attempt to connect to it has a timeout of 100 ms
+    Then it failed without being refused
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,5 +1,6 @@
 Feature: Settings are validated at start
-  A mistake gives one line with a numbered code and the path of the key.
+  Invalid settings end the program with one line that holds a numbered code
+  and the path of the key.
 
   Scenario Outline: A wrong setting is refused
     Given proxy settings where <key> is <value>
@@ -18,20 +19,20 @@
       | membership.compare_interval_ms  | 0           | 1005 | compare_interval_ms        |
       | host                            | ~           | 1003 | host                       |
 
-  Scenario: The program ends with status 2 and one line
+  Scenario: The program exits with status 2 and one line
     Given proxy settings where peer_port is 70000
     When sedgering-proxy is started with them
     Then it ends with status 2 and one line starting with "SDG-1005"
 
-  Scenario: The table of codes in the docs is the table in the code
+  Scenario: The documented error codes match the code
     Then docs/errors.md lists every code with its text
 
-  Scenario: The settings in the docs are the settings in the code
-    Then docs/settings.md is what the settings classes say
-    And every setting has a meaning
+  Scenario: The documented settings match the code
+    Then docs/settings.md equals the page made from the settings classes
+    And every setting has a description
 
-  Scenario: Names of the users' platform stand in the adapter only
-    Then no module but the adapter and the stand-ins names the platform's
+  Scenario: Only the platform adapter uses the platform's own names
+    Then no module but the adapter and the simulators uses platform names
 
-  Scenario: Imports point one way
+  Scenario: Packages import only lower layers
     Then every package imports only what docs/architecture.md lists below it
--- a/features/steps/connection_steps.py
+++ b/features/steps/connection_steps.py
@@ -1,4 +1,4 @@
-"""Steps over attempts to connect."""
+"""Steps for attempts to connect."""
 
 import asyncio
 import socket
@@ -11,26 +11,27 @@
 from sedgering import transport
 
 ADDRESS = '127.0.0.1'
-PATIENCE_S = 5.0
-#: More turns of the loop than an attempt to connect over loopback needs.
-TURNS_LIMIT = 40
-#: Of attempts that nobody accepts, the first ones fill the queue.
-QUEUE_FILLERS = 4
+TIMEOUT_S = 5.0
+#: More iterations of the event loop than an attempt to connect over loopback
+#: needs.
+ITERATIONS = 40
+#: Connections that fill the listen queue, so that later attempts hang.
+QUEUED_CONNECTIONS = 4
 
 
 class _AcceptedProtocol(asyncio.Protocol):
-    """Notes which connections are open."""
+    """Tracks the open connections of the server."""
 
-    def __init__(self, is_open: set):
-        self.is_open = is_open
+    def __init__(self, open_connections: set):
+        self.open_connections = open_connections
 
     def connection_made(self, transport):
-        """Note a connection."""
-        self.is_open.add(self)
+        """Add the connection."""
+        self.open_connections.add(self)
 
     def connection_lost(self, exc):
-        """Forget it."""
-        self.is_open.discard(self)
+        """Remove the connection."""
+        self.open_connections.discard(self)
 
 
 @given('a server that accepts connections')
@@ -38,20 +39,24 @@
     context.port = testing.free_ports(1)[0]
 
 
-@when('attempts to connect to it are cancelled in each of their turns')
+@when(
+    'attempts to connect to it are cancelled after each number of iterations'
+)
 def step_cancelled(context):
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        context.is_open = set()
+        context.open_connections = set()
         server = await loop.create_server(
-            lambda: _AcceptedProtocol(context.is_open), ADDRESS, context.port
+            lambda: _AcceptedProtocol(context.open_connections),
+            ADDRESS,
+            context.port,
         )
         context.outcomes = [
-            await _cancel_after(context.port, turns)
-            for turns in range(TURNS_LIMIT)
+            await _cancel_after(context.port, iterations)
+            for iterations in range(ITERATIONS)
         ]
-        async with asyncio.timeout(PATIENCE_S):
-            while context.is_open:
+        async with asyncio.timeout(TIMEOUT_S):
+            while context.open_connections:
                 await asyncio.sleep(0.01)
         server.close()
 
@@ -61,12 +66,12 @@
         pass
 
 
-async def _cancel_after(port: int, turns: int) -> str:
-    """Cancel an attempt after some turns; return how it ended."""
+async def _cancel_after(port: int, iterations: int) -> str:
+    """Cancel an attempt after some iterations; return how it ended."""
     attempt = asyncio.ensure_future(
-        transport.connect(ADDRESS, port, PATIENCE_S)
+        transport.connect(ADDRESS, port, TIMEOUT_S)
     )
-    for _turn in range(turns):
+    for _iteration in range(iterations):
         await asyncio.sleep(0)
     was_done = attempt.done()
     attempt.cancel()
@@ -78,16 +83,17 @@
     return 'done before' if was_done else 'not cancelled'
 
 
-@then('each of these attempts has ended as cancelled')
+@then('each unfinished attempt was cancelled')
 def step_all_cancelled(context):
     assert 'not cancelled' not in context.outcomes, context.outcomes
-    # Some attempts were far enough to be cancelled in their last turn.
+    # An attempt that finished first shows that the iterations covered the
+    # whole duration of an attempt.
     assert 'done before' in context.outcomes, context.outcomes
 
 
-@then('none of them has left a connection open')
+@then('no attempt has left a connection open')
 def step_none_open(context):
-    assert not context.is_open, len(context.is_open)
+    assert not context.open_connections, len(context.open_connections)
 
 
 @given('a server that accepts no connections')
@@ -95,18 +101,18 @@
     listener = socket.create_server((ADDRESS, 0), backlog=0)
     context.cleanups.append(listener.close)
     context.port = listener.getsockname()[1]
-    for _number in range(QUEUE_FILLERS):
+    for _number in range(QUEUED_CONNECTIONS):
         filler = socket.socket()
         filler.setblocking(False)
         filler.connect_ex((ADDRESS, context.port))
         context.cleanups.append(filler.close)
 
 
-@when('an attempt to connect to it has {time_ms:d} ms')
-def step_short(context, time_ms):
+@when('an attempt to connect to it has a timeout of {timeout_ms:d} ms')
+def step_short(context, timeout_ms):
     async def run() -> transport.ConnectFailed | None:
         try:
-            await transport.connect(ADDRESS, context.port, time_ms / 1000)
+            await transport.connect(ADDRESS, context.port, timeout_ms / 1000)
         except transport.ConnectFailed as error:
             return error
         return None
@@ -114,7 +120,7 @@
     context.error = asyncio.run(run())
 
 
-@then('it has failed, and was not refused')
+@then('it failed without being refused')
 def step_failed(context):
     assert context.error is not None
     assert not context.error.is_refused
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps on settings and codes."""
+"""Steps for settings, result codes and package structure."""
 
 import ast
 import pathlib
@@ -22,7 +22,7 @@
 
 
 class SettingsSubject:
-    """A settings file and what loading it gives."""
+    """A settings file and the error from loading it."""
 
     def __init__(self):
         folder = tempfile.mkdtemp(prefix='sedgering-settings-')
@@ -39,15 +39,15 @@
             'platform': {'address': '127.0.0.1', 'port': 9000},
         }
 
-    def change(self, key, value):
+    def change_key(self, key, value):
         *parents, last = key.split('.')
-        place = self.document
+        section = self.document
         for parent in parents:
-            place = place.setdefault(parent, {})
+            section = section.setdefault(parent, {})
         if value is None:
-            del place[last]
+            del section[last]
         else:
-            place[last] = value
+            section[last] = value
         self.path.write_text(yaml.safe_dump(self.document))
 
     def load(self):
@@ -60,7 +60,7 @@
 @given('proxy settings where {key} is {value}')
 def step_settings(context, key, value):
     context.settings = SettingsSubject()
-    context.settings.change(key, yaml.safe_load(value))
+    context.settings.change_key(key, yaml.safe_load(value))
 
 
 @when('the settings are loaded')
@@ -109,7 +109,7 @@
         assert any(line.startswith(start) for line in listed), start
 
 
-@then('docs/settings.md is what the settings classes say')
+@then('docs/settings.md equals the page made from the settings classes')
 def step_settings_page(context):
     path = ROOT / 'scripts' / 'make_settings_page.py'
     context.page_maker = runpy.run_path(str(path))
@@ -117,15 +117,15 @@
     assert page == context.page_maker['make_page']()
 
 
-@then('every setting has a meaning')
-def step_meanings(context):
+@then('every setting has a description')
+def step_descriptions(context):
     for settings_class, _place in context.page_maker['CLASSES']:
         meanings = context.page_maker['_read_meanings'](settings_class)
         for field in msgspec.structs.fields(settings_class):
             assert meanings.get(field.name), field.name
 
 
-@then("no module but the adapter and the stand-ins names the platform's")
+@then('no module but the adapter and the simulators uses platform names')
 def step_platform_names(context):
     names = [
         *msgspec.structs.astuple(platform.HEADERS),
@@ -133,7 +133,7 @@
         *('schema_version', 'cold_remaining', 'beat_address', 'sidecar'),
         *('target_latency', 'max_connections', 'health_path":'),
     ]
-    # Request ids have this name everywhere.
+    # This header name is used in all packages.
     names.remove(platform.HEADERS.request_id)
     checked = 0
     for folder in ('sedgering', 'soak'):
@@ -152,24 +152,30 @@
     page = (ROOT / 'docs' / 'architecture.md').read_text()
     order = re.findall(r'^    ([a-z]+) {2,}', page, re.MULTILINE)
     assert 'bundle' in order and len(order) == len(set(order)), order
-    # The stand-ins may use everything; two programs may use them.
+    # The simulators may import every package but cli.  Two programs in cli
+    # import them.
     order.insert(order.index('cli') + 1, 'testing')
     package = ROOT / 'sedgering'
     checked = 0
     for path in package.rglob('*.py'):
-        own = path.relative_to(package).parts[0].removesuffix('.py')
-        if own == '__init__' or 'gen' in path.parts:
+        package_name = path.relative_to(package).parts[0].removesuffix('.py')
+        if package_name == '__init__' or 'gen' in path.parts:
             continue
-        for other in runtime_imports(path):
-            if other != own:
+        for imported in list_runtime_imports(path):
+            if imported != package_name:
                 checked += 1
-                is_below = order.index(other) > order.index(own)
-                assert is_below, f'{path.name} of {own} imports {other}'
+                is_below = order.index(imported) > order.index(package_name)
+                assert is_below, (
+                    f'{path.name} of {package_name} imports {imported}'
+                )
     assert checked > 100, checked
 
 
-def runtime_imports(path):
-    """Find the packages that a module imports, type checking aside."""
+def list_runtime_imports(path):
+    """Yield the packages that a module imports at the top level.
+
+    Imports under TYPE_CHECKING are excluded.
+    """
     tree = ast.parse(path.read_text())
     for node in tree.body:
         if not isinstance(node, ast.ImportFrom):
--- a/sedgering/base.py
+++ b/sedgering/base.py
@@ -1,7 +1,7 @@
-"""Identifiers and abstract classes that all packages share.
+"""Identifiers and abstract base classes shared by all packages.
 
-Identifiers are ``NewType`` over plain strings and integers, so that a
-type checker tells a host from a party while nothing is paid at run time.
+Identifiers are ``NewType`` over plain strings and integers: a type checker
+distinguishes a host from a party, without any cost at run time.
 """
 
 import abc
@@ -47,35 +47,35 @@
 Version = NewType('Version', int)
 WorkspaceName = NewType('WorkspaceName', str)
 
-#: Whole numbers of sizes and times in messages; up to the largest one that
-#: every reader of JSON keeps exactly.
+#: Non-negative integers for sizes and times in messages, up to the largest one
+#: that every JSON parser represents exactly.
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**53 - 1)]
 
-#: Held by a proxy that has not applied any bundle yet.
+#: Version of a proxy that has not applied any bundle yet.
 NO_VERSION = Version(0)
 
-#: Of a call that no workspace makes: one of a target, or on a public route.
+#: Workspace of a call that is made by a target or on a public route.
 NO_WORKSPACE = WorkspaceName('')
 
 TablesT = TypeVar('TablesT', bound=Any)
 
 
 class System(abc.ABC, Generic[TablesT]):
-    """A decision that runs over the tables each tick.
+    """A part of the control logic that runs once per tick.
 
-    A system has no socket, clock or thread.  It reads the tables and
-    their inbox, writes the tables it owns and appends commands to the
-    outbox.  Adapters carry the commands out.
+    A system performs no I/O and uses no clock or thread.  It reads the tables
+    and their inbox, writes the tables that it owns, and appends commands to
+    the outbox.  Adapters execute the commands.
     """
 
     @abc.abstractmethod
     def run(self, tables: TablesT, now_ms: int) -> None:
-        """Advance by one tick.
+        """Run one tick.
 
         Parameters
         ----------
         tables
-            The tables of the process; written by the control thread only.
+            Tables of the process, which only the control thread writes.
         now_ms : int
-            Monotonic time in milliseconds, handed in by the caller.
+            Monotonic time in milliseconds.
         """
--- a/sedgering/clock.py
+++ b/sedgering/clock.py
@@ -1,4 +1,7 @@
-"""The two clocks; systems are handed the time and read neither."""
+"""Monotonic and wall-clock time.
+
+Systems don't read the clocks; they get the time as an argument.
+"""
 
 import time
 
@@ -8,13 +11,14 @@
 
 
 def monotonic_ms() -> int:
-    """Return monotonic time in milliseconds; every decision rests on it.
+    """Return monotonic time in milliseconds, for all decisions.
 
-    It goes on while the host is suspended, as the time of callers does.
+    It advances while the host is suspended, as the time of the callers
+    does.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
 
 def wall_ms() -> int:
-    """Return wall-clock time in milliseconds, for records to read."""
+    """Return wall-clock time in milliseconds, for records that people read."""
     return time.time_ns() // _NS_PER_MS
--- a/sedgering/exceptions.py
+++ b/sedgering/exceptions.py
@@ -1,9 +1,9 @@
 """Numbered result codes and the exceptions that carry them.
 
-The thousands digit names the subject: 1 settings and bundles, 2 release,
+The thousands digit gives the subject: 1 settings and bundles, 2 release,
 3 platform, 4 peers and distribution, 5 requests, 6 targets, members and
-rollouts.  A number is never used again for another meaning.  docs/errors.md
-lists them; a test compares the two.
+rollouts.  A number is never reused with another meaning.  The codes are
+documented in docs/errors.md, and a test compares the two.
 """
 
 import enum
@@ -24,10 +24,10 @@
 
 
 class Code(enum.IntEnum):
-    """Result codes; the text says what happened, not where."""
+    """Result codes with a text that says what happened, not where."""
 
     def __new__(cls, number: int, text: str):
-        """Attach the text of the code to its number."""
+        """Create a member from its number and text."""
         member = int.__new__(cls, number)
         member._value_ = number
         member.text = text
@@ -111,9 +111,9 @@
     Parameters
     ----------
     code : Code
-        What happened.
+        Kind of the error.
     detail : str
-        The particulars: key path, version, names.
+        Details such as a key path, a version or names.
     """
 
     def __init__(self, code: Code, detail: str = ''):
@@ -122,21 +122,21 @@
         self.detail = detail
 
     def __str__(self) -> str:
-        """Return one line: code, meaning, particulars."""
+        """Return code, text and detail in one line."""
         line = f'SDG-{int(self.code)} {self.code.text}'
         return f'{line}: {self.detail}' if self.detail else line
 
 
 class SettingsError(SedgeringError):
-    """Settings that a process refuses to start with."""
+    """Invalid settings, with which a process does not start."""
 
 
 class BundleError(SedgeringError):
-    """A bundle or delta that is refused whole."""
+    """An invalid bundle or delta; no part of it is applied."""
 
 
 class ReleaseError(SedgeringError):
-    """A sign-off or roll that did not take place, or may have."""
+    """A sign-off or roll that failed or whose outcome is unknown."""
 
 
 class PlatformError(SedgeringError):
@@ -144,20 +144,20 @@
 
 
 class PeerError(SedgeringError):
-    """A message from or a call to another proxy that failed."""
+    """An invalid message from another proxy, or a failed call to one."""
 
 
 class ReportError(SedgeringError):
-    """A report of a target that changes nothing."""
+    """An invalid report of a target; it changes nothing."""
 
 
 class MemberError(SedgeringError):
-    """A member row that names no target."""
+    """An invalid member row, which names no target."""
 
 
 class RolloutError(SedgeringError):
-    """An order or a row of a rollout that changes nothing."""
+    """An invalid order or row of a rollout; it changes nothing."""
 
 
 class RequestError(SedgeringError):
-    """A request that gets an answer of the proxy's own."""
+    """A request that the proxy answers itself with an error."""
--- a/sedgering/messages.py
+++ b/sedgering/messages.py
@@ -1,4 +1,4 @@
-"""Typed events that systems read and commands that they emit."""
+"""Events that systems read and commands that they emit."""
 
 import msgspec
 
@@ -26,77 +26,77 @@
     'list_differing',
 ]
 
-#: IP number and peer port.
+#: IP address and peer port.
 PeerAddress = tuple[str, int]
 
 
 class ReceivedDatagram(msgspec.Struct, frozen=True):
-    """A checked datagram and where it came from."""
+    """A validated datagram and the address of its sender."""
 
     datagram: peer.Datagram
     address: PeerAddress
 
 
 class HeadRead(msgspec.Struct, frozen=True):
-    """The head row; contacts are None when they were not asked for."""
+    """The head row has been read; contacts are None if not requested."""
 
     head: release.HeadRecord
     contacts: tuple[release.ContactRecord, ...] | None
 
 
 class PlatformFailed(msgspec.Struct, frozen=True):
-    """The platform gave no answer to a read of the head."""
+    """A read of the head row from the platform failed."""
 
     code: int
     with_contacts: bool
 
 
 class RowWriteFailed(msgspec.Struct, frozen=True):
-    """A row that was not written, or perhaps not."""
+    """A row was not written, or the outcome of the write is unknown."""
 
     key: str
 
 
 class ContentFetched(msgspec.Struct, frozen=True):
-    """Content that a peer sent."""
+    """A peer has sent the content of a version."""
 
     content: peer.Content
     address: PeerAddress
 
 
 class ObjectFetched(msgspec.Struct, frozen=True):
-    """Content of a version from the object store."""
+    """The content of a version has been read from the object store."""
 
     content: release.VersionContent
 
 
 class FetchFailed(msgspec.Struct, frozen=True):
-    """A fetch of content or of an object that brought nothing."""
+    """A fetch from a peer or from the object store failed."""
 
     code: int
 
 
 class RowsPulled(msgspec.Struct, frozen=True):
-    """Host rows from a peer; empty when the pull failed."""
+    """Host rows from a peer; empty if the pull failed."""
 
     rows: tuple[peer.HostRow, ...]
 
 
 class ReadHead(msgspec.Struct, frozen=True):
-    """Read the head row, and the contacts of all data centres."""
+    """Read the head row and, on request, the contacts of all data centres."""
 
     with_contacts: bool
 
 
 class FetchContent(msgspec.Struct, frozen=True):
-    """Ask a peer for the version that it holds."""
+    """Request the content of the version that a peer holds."""
 
     address: PeerAddress
     held_version: base.Version
 
 
 class FetchObject(msgspec.Struct, frozen=True):
-    """Ask the object store for a version, by differences if possible."""
+    """Read a version from the object store, as a delta if possible."""
 
     version: base.Version
     digest: base.Digest
@@ -104,9 +104,9 @@
 
 
 class PullRows(msgspec.Struct, frozen=True):
-    """Ask a peer for the rows of the buckets that differ.
+    """Request the host rows of a peer in the buckets that differ.
 
-    Buckets without a digest here are asked for in any case.
+    Buckets that are not covered by `bucket_digests` are always included.
     """
 
     address: PeerAddress
@@ -116,7 +116,7 @@
 def list_differing(
     own: tuple[int, ...], digests: list[int] | tuple[int, ...]
 ) -> list[int]:
-    """Return the buckets whose digests differ, or that `own` lacks."""
+    """Return the indexes of buckets that differ or are missing in `own`."""
     return [
         index
         for index, digest in enumerate(digests)
@@ -125,14 +125,14 @@
 
 
 class WriteRow(msgspec.Struct, frozen=True):
-    """Write a row for display or contact; the last writer wins."""
+    """Write a status or contact row; the last write wins."""
 
     key: str
     value: bytes
 
 
 class Inbox:
-    """Events since the last tick, by type.  Emptied after each tick."""
+    """Events since the last tick by type; cleared after each tick."""
 
     def __init__(self):
         self.datagrams: list[ReceivedDatagram] = []
@@ -155,11 +155,11 @@
         }
 
     def add(self, event: msgspec.Struct) -> None:
-        """File an event under its type."""
+        """Add an event to the list of its type."""
         self._lists[type(event)].append(event)
 
     def clear(self) -> None:
-        """Drop all events, once every system has seen them."""
+        """Remove all events, after every system has run."""
         for events in self._lists.values():
             events.clear()
 
@@ -170,7 +170,7 @@
     Parameters
     ----------
     mesh : str
-        Mesh that all datagrams name.
+        Mesh name in all datagrams.
     host : HostId
         Sender of all datagrams.
     """
@@ -185,9 +185,10 @@
     def datagram_to(
         self, address: PeerAddress, incarnation: int
     ) -> peer.Datagram:
-        """Return this tick's datagram to a peer, for a part to be added.
+        """Return the datagram of this tick to a peer, created if missing.
 
-        Parts of several systems to the same peer travel together.
+        Several systems add their parts to it, so that each peer gets one
+        datagram per tick.
         """
         datagram = self.datagrams.get(address)
         if datagram is None:
@@ -201,7 +202,7 @@
         return datagram
 
     def clear(self) -> None:
-        """Drop all commands, once they are carried out or queued."""
+        """Remove all commands, after they are executed or queued."""
         self.datagrams.clear()
         self.platform.clear()
         self.peers.clear()
--- a/sedgering/observability/__init__.py
+++ b/sedgering/observability/__init__.py
@@ -16,12 +16,12 @@
     'make_metrics',
 ]
 
-_LAZY = frozenset(('Metrics', 'make_metrics'))
+_LAZY_NAMES = frozenset(('Metrics', 'make_metrics'))
 
 
 def __getattr__(name: str) -> Any:
-    """Import metrics on first use: their library takes 6 MB."""
-    if name not in _LAZY:
+    """Import the metrics on first use: prometheus_client takes 6 MB."""
+    if name not in _LAZY_NAMES:
         raise AttributeError(name)
     from sedgering.observability import _metrics
 
--- a/sedgering/observability/_counts.py
+++ b/sedgering/observability/_counts.py
@@ -1,7 +1,8 @@
-"""Counters and a latency histogram that cost little until they are read.
+"""Request counters and a latency histogram with little overhead.
 
-prometheus_client takes 6 MB of a daemon; so values are kept in plain
-tables, and the library is imported when somebody asks for them.
+prometheus_client takes 6 MB of memory.  The values are therefore kept in
+plain dicts and lists, and the library is imported when the metrics are first
+read.
 """
 
 import bisect
@@ -10,17 +11,17 @@
 
 __all__ = ['RequestCounts']
 
-#: Upper bounds of the latency buckets in seconds: around the goals and
-#: deadlines of the first users, 0.1 to 3 s.
-LATENCY_BOUNDS_S = (0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 1.0, 1.5, 2.5, 5.0)
+#: Upper bounds of the latency buckets in seconds.  They cover common latency
+#: goals and deadlines, 0.1 to 3 s.
+LATENCY_BUCKETS_S = (0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 1.0, 1.5, 2.5, 5.0)
 
 
 class RequestCounts:
-    """How requests ended, how attempts failed, and how long answers took."""
+    """Counts of request outcomes and failed attempts, and latencies."""
 
     def __init__(self):
         self.counts: dict[tuple[str, str], int] = {}
-        self.buckets = [0] * (len(LATENCY_BOUNDS_S) + 1)
+        self.buckets = [0] * (len(LATENCY_BUCKETS_S) + 1)
         self.latency_sum_s = 0.0
 
     def count(self, kind: str, label: str) -> None:
@@ -29,16 +30,16 @@
         Parameters
         ----------
         kind : str
-            One of a few kinds, such as ``refused``.
+            Kind of the event, such as ``refused``.
         label : str
-            Status, code or reason; of a bounded set.
+            Status, code or reason, from a bounded set.
         """
         key = (kind, label)
         self.counts[key] = self.counts.get(key, 0) + 1
 
     def observe(self, elapsed_s: float) -> None:
-        """Take in the latency of one answered request, in seconds."""
-        self.buckets[bisect.bisect_left(LATENCY_BOUNDS_S, elapsed_s)] += 1
+        """Record the latency of one answered request, in seconds."""
+        self.buckets[bisect.bisect_left(LATENCY_BUCKETS_S, elapsed_s)] += 1
         self.latency_sum_s += elapsed_s
 
     def render(
@@ -46,16 +47,18 @@
         gauges: dict[str, float],
         workspaces: Iterable[tuple[str, str, int]] = (),
     ) -> bytes:
-        """Return the text exposition.
+        """Return the metrics in the text format of Prometheus.
 
         Parameters
         ----------
         gauges : dict of str to float
-            Present values, such as the version in force.
+            Current values, such as the version in force.
         workspaces : iterable of tuple
-            Label, kind and count of the largest workspaces and of the others.
+            Label, kind and count of the largest workspaces and of the others
+            together.
         """
-        # The daemon imports nothing that speaks TLS; this library does.
+        # The daemon does not use TLS and blocks the import of ssl, which
+        # prometheus_client needs.
         if sys.modules.get('ssl', sys) is None:
             del sys.modules['ssl']
         import prometheus_client
@@ -67,7 +70,7 @@
 
 
 class _Collector:
-    """Shows the tables as families of prometheus_client."""
+    """Collector that converts the counts to prometheus_client metrics."""
 
     def __init__(self, counts: RequestCounts, gauges, workspaces, core):
         self.counts = counts
@@ -76,7 +79,7 @@
         self.core = core
 
     def collect(self):
-        """Yield the families."""
+        """Yield the metric families."""
         events = self.core.CounterMetricFamily(
             'sedgering_requests',
             'Requests and attempts by how they ended.',
@@ -94,7 +97,8 @@
             )
 
     def _make_workspaces(self):
-        # Gauges: who comes to be one of the largest leaves the others.
+        # Gauges rather than counters: the value of the others decreases when
+        # one of them becomes one of the largest workspaces.
         family = self.core.GaugeMetricFamily(
             'sedgering_workspace_requests',
             'Requests since the start by workspace and by how they ended.',
@@ -107,7 +111,7 @@
     def _make_histogram(self):
         total = 0
         buckets = []
-        bounds = [*map(str, LATENCY_BOUNDS_S), '+Inf']
+        bounds = [*map(str, LATENCY_BUCKETS_S), '+Inf']
         for bound, count in zip(bounds, self.counts.buckets):
             total += count
             buckets.append((bound, total))
--- a/sedgering/observability/_logs.py
+++ b/sedgering/observability/_logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines."""
+"""Logging of JSON lines."""
 
 import datetime
 import logging
@@ -8,7 +8,7 @@
 
 __all__ = ['JsonFormatter', 'configure_logging']
 
-#: Fields that a record may carry through `extra`.
+#: Fields of `extra` that are written to the log line.
 FIELDS = (
     'admitted_percent',
     'age_ms',
@@ -53,7 +53,7 @@
     Parameters
     ----------
     constants : dict of str to str
-        Fields of every line, such as host and data_centre.
+        Fields that are added to every line, such as host and data_centre.
     """
 
     def __init__(self, constants: dict[str, str]):
@@ -61,12 +61,12 @@
         self.constants = constants
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of one record."""
-        moment = datetime.datetime.fromtimestamp(
+        """Return a record as a JSON line."""
+        created_at = datetime.datetime.fromtimestamp(
             record.created, datetime.timezone.utc
         )
         line = {
-            'time': moment.isoformat(timespec='milliseconds'),
+            'time': created_at.isoformat(timespec='milliseconds'),
             'level': record.levelname,
             'logger': record.name,
             'message': record.getMessage(),
@@ -83,23 +83,23 @@
 def configure_logging(
     level: str, stream: TextIO | None = None, **constants: str
 ) -> None:
-    """Write JSON lines.
+    """Configure the root logger to write JSON lines.
 
     Parameters
     ----------
     level : str
-        Least level written.
+        Lowest level that is written.
     stream : file
-        Standard error where it is left out.
+        Output stream; standard error if None.
     **constants : str
-        Fields of every line.
+        Fields that are added to every line.
     """
     handler = logging.StreamHandler(stream)
     handler.setFormatter(JsonFormatter(constants))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # The library logs a line for each connection.
+    # urllib3 logs a line for each connection.
     logging.getLogger('urllib3').setLevel(logging.WARNING)
     logging.getLogger('thrift').setLevel(logging.CRITICAL)
     logging.getLogger('cherrypy').setLevel(logging.WARNING)
--- a/sedgering/observability/_metrics.py
+++ b/sedgering/observability/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one proxy."""
+"""Prometheus metrics of a proxy."""
 
 import prometheus_client
 
@@ -6,12 +6,12 @@
 
 
 class Metrics:
-    """The metrics of one process, in a registry of their own.
+    """The metrics of one process, in a separate registry.
 
     Notes
     -----
-    Label values are bounded: channels, directions and codes, never names
-    of hosts or requests.
+    Label values come from bounded sets: channels, directions and codes, never
+    names of hosts or requests.
     """
 
     def __init__(self):
@@ -57,10 +57,10 @@
         )
 
     def render(self) -> bytes:
-        """Return the text exposition of all metrics."""
+        """Return all metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
 
 def make_metrics() -> Metrics:
-    """Make the metrics of a process that has just started."""
+    """Create the metrics of a process; all values start at zero."""
     return Metrics()
--- a/sedgering/observability/_refusals.py
+++ b/sedgering/observability/_refusals.py
@@ -1,4 +1,4 @@
-"""Logs what is refused once, however often it is read again."""
+"""Logging of repeated refusals without duplicate lines."""
 
 from collections.abc import Hashable
 import logging
@@ -8,30 +8,30 @@
 
 __all__ = ['RefusalLog']
 
-#: Refusals remembered; the oldest is forgotten first, and logged again when
-#: it comes again.
-REMEMBERED = 256
+#: Number of refusals remembered.  The oldest is evicted first, and is logged
+#: again if it recurs.
+REMEMBERED_LIMIT = 256
 
 
 class RefusalLog:
-    """Logs each refusal once.
+    """Logs each distinct refusal once.
 
-    What another writer left in the store is there at each read, and whoever
-    reports strange things does so with each heartbeat: a line for each would
-    hide all others.
+    An invalid row in the store is read again and again, and a target that
+    reports invalid values does so with each heartbeat.  One line for each
+    occurrence would bury all other log lines.
 
     Parameters
     ----------
     logger : Logger
-        Of the module that refuses.
+        Logger of the module that refuses.
     level : int
-        Of its lines.
+        Level of the log lines.
     """
 
     def __init__(self, logger: logging.Logger, level: int):
         self.logger = logger
         self.level = level
-        self._known: dict[Hashable, None] = {}
+        self._logged_keys: dict[Hashable, None] = {}
 
     def note(
         self,
@@ -45,19 +45,19 @@
         Parameters
         ----------
         key : hashable
-            Equal for refusals that are the same.
+            Identifies the refusal; equal keys are logged once.
         message : str
-            Of the line.
+            Message of the log line.
         error : SedgeringError
-            Why it was refused.
+            Reason of the refusal; its code and detail are logged.
         **fields
-            Others of the line.
+            Further fields of the log line.
         """
-        if key in self._known:
+        if key in self._logged_keys:
             return
-        self._known[key] = None
-        if len(self._known) > REMEMBERED:
-            del self._known[next(iter(self._known))]
+        self._logged_keys[key] = None
+        if len(self._logged_keys) > REMEMBERED_LIMIT:
+            del self._logged_keys[next(iter(self._logged_keys))]
         self.logger.log(
             self.level,
             message,
--- a/sedgering/ports.py
+++ b/sedgering/ports.py
@@ -1,8 +1,8 @@
-"""Ports that listen before the rest of a program is loaded.
+"""Listening sockets that are opened before the rest of a program is loaded.
 
-Loading a daemon takes 0.3 s on a host with 0.4 cores.  What connects
-meanwhile waits in the queue of the port, and is answered when the daemon is
-up, instead of being refused.
+Loading a daemon takes 0.3 s on a host with 0.4 cores.  Clients that connect
+meanwhile wait in the listen queue until the daemon accepts them, instead of
+being refused.
 """
 
 from collections.abc import Iterable
@@ -10,60 +10,60 @@
 
 __all__ = ['BACKLOG', 'OpenPorts', 'open_port']
 
-#: Connections that wait to be accepted: a second of new callers of a host.
+#: Length of the listen queue: the new connections of a host in one second.
 BACKLOG = 1024
 
 
 def open_port(address: str, port: int) -> socket.socket:
-    """Listen on a port.
+    """Open a non-blocking TCP socket that listens on a port.
 
     Raises
     ------
     OSError
-        When it cannot be bound.
+        If the port cannot be bound.
     """
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind((address, port))
-        opened.listen(BACKLOG)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((address, port))
+        listener.listen(BACKLOG)
     except OSError:
-        opened.close()
+        listener.close()
         raise
-    opened.setblocking(False)
-    return opened
+    listener.setblocking(False)
+    return listener
 
 
 class OpenPorts:
-    """Ports that listen already, until somebody serves them.
+    """Listening sockets that wait to be taken over by a server.
 
     Parameters
     ----------
     addresses : iterable of str
-        ``ADDRESS:PORT``, opened at once.
+        Ports as ``ADDRESS:PORT``, opened immediately.
 
     Raises
     ------
     OSError
-        When one cannot be bound.
+        If a port cannot be bound.
     ValueError
-        When one is no address.
+        If an item is not of the form ``ADDRESS:PORT``.
     """
 
     def __init__(self, addresses: Iterable[str] = ()):
-        self._opened: dict[tuple[str, int], socket.socket] = {}
+        self._listeners: dict[tuple[str, int], socket.socket] = {}
         for text in addresses:
             address, _colon, port = text.rpartition(':')
             key = (address, int(port))
-            self._opened[key] = open_port(*key)
+            self._listeners[key] = open_port(*key)
 
     def take(self, address: str, port: int) -> socket.socket:
-        """Return the socket of a port, which is opened now if need be."""
-        opened = self._opened.pop((address, port), None)
-        return opened or open_port(address, port)
+        """Remove and return the socket of a port; open it if missing."""
+        listener = self._listeners.pop((address, port), None)
+        return listener or open_port(address, port)
 
     def close(self) -> None:
-        """Close what nobody has taken."""
-        while self._opened:
-            _key, opened = self._opened.popitem()
-            opened.close()
+        """Close the sockets that have not been taken."""
+        while self._listeners:
+            _key, listener = self._listeners.popitem()
+            listener.close()
--- a/sedgering/settings.py
+++ b/sedgering/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs: YAML, typed, validated in one place."""
+"""Typed settings of the programs, read from YAML and validated."""
 
 import ipaddress
 import pathlib
@@ -32,7 +32,7 @@
 CountOrNone = Annotated[int, msgspec.Meta(ge=0, le=10_000)]
 Percent = Annotated[int, msgspec.Meta(ge=0, le=100)]
 
-_NOT_IP = 'is not an IPv4 number'
+_NOT_IP = 'is not an IPv4 address'
 _CODES_BY_PATTERN = (
     (_NOT_IP, exceptions.Code.SETTINGS_ADDRESS),
     ('missing required field', exceptions.Code.SETTINGS_MISSING),
@@ -43,18 +43,18 @@
 class SettingsStruct(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Settings are frozen, named, and refuse keys that they do not know."""
+    """Base class of settings: immutable, and unknown keys are errors."""
 
 
 class PeerAddress(SettingsStruct):
-    """Where a peer listens.
+    """Address of a peer.
 
     Parameters
     ----------
     address : IPv4Address
-        IP number.
+        IP address.
     port : int
-        Peer port; UDP and TCP have the same number.
+        Peer port, the same for UDP and TCP.
     """
 
     address: ipaddress.IPv4Address
@@ -62,22 +62,23 @@
 
 
 class PlatformSettings(SettingsStruct):
-    """How the platform is asked.
+    """Connection to the platform.
 
     Parameters
     ----------
     address, port
-        Where the platform listens.
+        Address and port of the platform.
     timeout_ms : int
-        Longest time for one call.
+        Timeout of one call.
     concurrent_calls : int
-        Calls at a time; others wait.
+        Largest number of concurrent calls; further calls wait.
     queue_wait_ms : int
-        Longest wait for a free call.
+        Longest time for which a call waits to be sent.
     circuit_failures : int
-        Failures in a row after which the platform is left alone.
+        Consecutive failures after which the circuit breaker opens: no calls
+        are sent for a while.
     circuit_open_ms, circuit_max_open_ms : int
-        For how long at first, and at most.
+        Initial and longest time for which the circuit breaker stays open.
     """
 
     address: ipaddress.IPv4Address
@@ -91,26 +92,27 @@
 
 
 class DistributionSettings(SettingsStruct):
-    """How versions spread.
+    """Distribution of bundle versions.
 
     Parameters
     ----------
     fan_out : int
-        Children of one parent in the tree of a data centre, on average.
+        Average number of children of a node in the distribution tree of a
+        data centre.
     relays : int
-        Proxies of a data centre that read the head.
+        Number of proxies per data centre that read the head row.
     head_poll_interval_ms : int
-        Time between two reads of the head by one relay.
+        Interval at which one relay reads the head row.
     acknowledge_interval_ms : int
-        Time between two acknowledgements when nothing changed.
+        Interval between acknowledgements while nothing changes.
     merge_interval_ms : int
-        Shortest time between two acknowledgements.
+        Shortest interval between two acknowledgements.
     use_delta : bool
-        Send differences instead of whole bundles where possible.
+        Whether deltas are sent instead of complete bundles where possible.
     delta_history : int
-        Versions back from which a difference is still available.
+        Number of past versions from which a delta is available.
     progress_interval_ms : int
-        Shortest time between two writes of the progress row.
+        Shortest interval between two writes of the progress row.
     """
 
     fan_out: Annotated[int, msgspec.Meta(ge=2, le=64)] = 8
@@ -124,28 +126,30 @@
 
 
 class MembershipSettings(SettingsStruct):
-    """How hosts learn of each other.
+    """Group membership and failure detection.
 
     Parameters
     ----------
     compare_interval_ms : int
-        Time between two probes of random peers.
+        Interval between probes of random peers.
     probe_timeout_ms : int
-        Time after which an unanswered probe is repeated, then counted.
+        Time after which an unanswered probe is repeated, and after which the
+        repeated probe counts as failed.
     suspicion_ms : int
-        Time that a suspected host has to answer for itself.
+        Time within which a suspected host must refute the suspicion.
     forget_ms : int
-        Time for which the row of a host that is gone is kept; longer
-        than regions are apart.
+        Time for which the row of a host that is gone is kept; must exceed
+        the longest partition between regions.
     remote_percent : int
-        Share of probes that goes to other data centres.
+        Percentage of probes that go to other data centres.
     gossip_fan_out : int
-        Peers that news is pushed to in each tick.
+        Number of peers to which changes are sent in each tick.
     seeds : list of PeerAddress
-        Peers to ask when the platform cannot name any.
+        Peers to contact when the platform cannot provide any.
     floor_peers : int
-        Peers that must answer, among them one of each data centre ever
-        heard of, before a floor counts without the table.
+        Number of peers that must answer, among them one of each known data
+        centre, before a version floor is accepted without reading it from
+        the platform.
     """
 
     compare_interval_ms: IntervalMs = 1000
@@ -159,30 +163,33 @@
 
 
 class TrafficSettings(SettingsStruct):
-    """How requests are treated.
+    """Handling of requests.
 
     Parameters
     ----------
     threads : int
-        Requests worked on at a time.
+        Number of worker threads, each of which handles one request at a
+        time.
     queue_limit : int
-        Connections that wait for a thread.
+        Largest number of connections that wait for a worker thread.
     waiting_limit : int
-        Requests that wait for a target set at its limit.
+        Largest number of requests that wait for a target set at its limit.
     waiting_ms : int
-        Longest such wait.
+        Longest time for which a request waits for a target set at its limit.
     retry_floor_per_s : int
-        Retries allowed each second however few requests there are.
+        Retries per second that are allowed regardless of the request rate.
     guard_writes_per_s : int
-        Table writes that the repeat guards of the whole fleet may use.
+        Table writes per second that the idempotency guards of all proxies
+        may use together.
     caller_timeout_ms : int
-        Longest silence of a caller within a request.
+        Longest time without data from the caller within a request.
     drain_grace_ms : int
-        Time for which a leaving proxy still accepts requests.
+        Time for which a proxy that shuts down still accepts requests.
     drain_limit_ms : int
-        Longest wait for requests in flight when leaving.
+        Longest time for which a proxy that shuts down waits for requests in
+        flight.
     heartbeat_limit_ms : int
-        Silence after which a target counts as leaving.
+        Time without a heartbeat after which a target counts as leaving.
     """
 
     threads: Count = 40
@@ -203,30 +210,30 @@
     Parameters
     ----------
     mesh : str
-        Mesh that the proxy belongs to.
+        Mesh to which the proxy belongs.
     host : str
         Unique name of the host.
     data_centre : str
         Data centre of the host.
     address : IPv4Address
-        IP number that peers and callers reach.
+        IP address at which peers and callers reach the proxy.
     data_port, peer_port, admin_port : int
         Ports for requests, for peers (UDP and TCP), and for the admin
         pages.
     platform : PlatformSettings
-        How the platform is asked.
+        Connection to the platform.
     admin_address : IPv4Address
-        Where the admin pages listen; loopback unless set otherwise.
+        IP address on which the admin pages are served; loopback by default.
     tick_interval_ms : int
-        Longest time between two ticks.
+        Longest interval between two ticks of the control loop.
     log_level : str
-        Least level written.
+        Lowest log level that is written.
     distribution : DistributionSettings
-        How versions spread.
+        Distribution of bundle versions.
     membership : MembershipSettings
-        How hosts learn of each other.
+        Group membership and failure detection.
     traffic : TrafficSettings
-        How requests are treated.
+        Handling of requests.
     """
 
     mesh: Name
@@ -246,21 +253,21 @@
 
     @property
     def host_id(self) -> base.HostId:
-        """Name of the host, as an identifier."""
+        """Name of the host as a `HostId`."""
         return base.HostId(self.host)
 
 
 class OperatorSettings(SettingsStruct):
-    """Settings of the operator's tools.
+    """Settings of the operator command-line tools.
 
     Parameters
     ----------
     mesh : str
-        Mesh that is operated.
+        Mesh to operate on.
     operator : str
-        Who signs off and rolls.
+        Name of the operator, recorded with each sign-off and roll.
     platform : PlatformSettings
-        How the platform is asked.
+        Connection to the platform.
     """
 
     mesh: Name
@@ -276,22 +283,23 @@
     Parameters
     ----------
     path : Path
-        YAML file.
+        Path of the YAML file.
     settings_type : type
-        One of the settings classes of this module.
+        Settings class to which the file is converted.
 
     Returns
     -------
     settings_type
-        Validated.
+        The validated settings.
 
     Raises
     ------
     SettingsError
-        One line: code, meaning, and the path of the key.
+        If the file is unreadable or invalid.  The message is one line with
+        the code, its text and, if known, the path of the key.
     """
-    # Imported here: a daemon with default settings reads no file, and starts
-    # 20 ms of processor time sooner.
+    # Imported here: a daemon with default settings reads no file, and saves
+    # 20 ms of processor time at its start.
     import yaml
 
     try:
@@ -329,17 +337,21 @@
 
 
 def _suggest_key(message: str, settings_type: type) -> str:
-    """Name the key that was probably meant, such as one with its unit."""
+    """Return a hint at a similar known key, preferably one with a unit."""
     unknown = re.search('unknown field `([^`]+)`', message)
     if unknown is None:
         return ''
     import difflib
 
-    known = _list_keys(settings_type)
-    written = unknown.group(1)
-    longer = [key for key in known if key.startswith(written + '_')]
-    close = longer or difflib.get_close_matches(written, known, 1)
-    return f'; did you mean `{close[0]}`?' if close else ''
+    known_keys = _list_keys(settings_type)
+    unknown_key = unknown.group(1)
+    with_unit = [
+        key for key in known_keys if key.startswith(unknown_key + '_')
+    ]
+    matches = with_unit or difflib.get_close_matches(
+        unknown_key, known_keys, 1
+    )
+    return f'; did you mean `{matches[0]}`?' if matches else ''
 
 
 def _list_keys(settings_type: type) -> list[str]:
--- a/sedgering/transport/__init__.py
+++ b/sedgering/transport/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on an event loop: messages, caller and target connections."""
+"""HTTP/1.1 on an asyncio event loop: messages, client and server side."""
 
 from sedgering.transport._client import ClientConnection
 from sedgering.transport._client import connect
--- a/sedgering/transport/_client.py
+++ b/sedgering/transport/_client.py
@@ -1,4 +1,7 @@
-"""Connections to targets and peers: one exchange at a time."""
+"""HTTP/1.1 client connections to targets and peers.
+
+A connection carries one exchange at a time.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -16,35 +19,37 @@
 
 LOG = logging.getLogger(__name__)
 
-#: A peer that acknowledges nothing for so long is taken as gone.
-UNACKNOWLEDGED_LIMIT_MS = 2000
-#: Silence after which a peer is probed, and between probes.
-PROBE_AFTER_S = 1
-#: Largest answer kept; beyond it the exchange fails.
+#: TCP_USER_TIMEOUT: the connection fails when sent data stays
+#: unacknowledged for longer.
+TCP_USER_TIMEOUT_MS = 2000
+#: Idle time before the first TCP keep-alive probe, and between probes.
+KEEPALIVE_INTERVAL_S = 1
+#: Largest response body; the exchange fails when it is exceeded.
 BODY_LIMIT_BYTES = 16 * 1024 * 1024
-#: Share of a stated keep-alive time for which an idle connection is used;
-#: the rest covers the way of a request that crosses the close.
-KEPT_SHARE = 0.7
-#: Values of ``Keep-Alive`` that are remembered as parsed: peers state one or
-#: two.
-KEEP_ALIVE_VALUES = 64
-#: Answers that belong to earlier requests and may precede the own one.
-FOREIGN_LIMIT = 4
-
+#: Share of the keep-alive timeout announced by the peer for which an idle
+#: connection is reused.  The rest covers the time on the network, so that a
+#: request does not cross the close by the peer.
+KEEP_ALIVE_REUSE_SHARE = 0.7
+#: Cached parsed values of ``Keep-Alive``; peers use one or two different
+#: ones.
+KEEP_ALIVE_CACHE_SIZE = 64
+#: Responses to earlier requests that are skipped before the exchange fails.
+SKIPPED_RESPONSES_LIMIT = 4
 
-#: Fields that tell where the body ends.
-_FRAMING = frozenset(('content-length', 'transfer-encoding'))
+#: Header fields that delimit the body.
+_FRAMING_FIELDS = frozenset(('content-length', 'transfer-encoding'))
 
 
 class ConnectFailed(Exception):
-    """No connection came about; nothing was sent.
+    """The connection could not be established; nothing was sent.
 
     Parameters
     ----------
     detail : str
-        What happened.
+        Address and cause.
     is_refused : bool
-        Whether the host answered that nobody listens there.
+        Whether the host refused the connection because no process listens
+        on the port.
     """
 
     def __init__(self, detail: str, is_refused: bool = False):
@@ -53,45 +58,48 @@
 
 
 class ExchangeFailed(Exception):
-    """The exchange ended without a whole answer; it may have run."""
+    """No complete response arrived; the request may have been executed."""
 
 
-#: Told how an exchange ended.
-OnEnd = Callable[[_messages.Response | ExchangeFailed], None]
+#: Receives the response, or the reason why there is none.
+ExchangeCallback = Callable[[_messages.Response | ExchangeFailed], None]
 
 
 class ClientConnection(asyncio.Protocol):
     """One connection to a target or peer.
 
     A connection whose exchange did not end cleanly is closed and never
-    used again, so that a late answer reaches nobody.
+    reused, so that a late response is not taken for the response to a later
+    request.
 
     Parameters
     ----------
     loop : AbstractEventLoop
-        Runs the connection.
+        Event loop of the connection.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self.loop = loop
         self.transport: asyncio.Transport | None = None
+        #: Whether the connection may be used for another exchange.
         self.is_sound = True
-        self.kept_until_s = float('inf')
-        #: When the peer sent anything last, or the connection was made.
+        self.reusable_until_s = float('inf')
+        #: Time of the event loop at which the peer last sent data, or at
+        #: which the connection was created.
         self.heard_s = loop.time()
-        #: Of the answer that is awaited, head and body.
+        #: Size of the current response so far, head and body.
         self.received_bytes = 0
         self._parser: httptools.HttpResponseParser | None = None
-        #: Told how the exchange ended; None where nobody waits.
-        self._on_end: OnEnd | None = None
-        #: How it ended, until those that wait are told.
+        #: Callback of the current exchange; None when there is none.
+        self._on_end: ExchangeCallback | None = None
+        #: Result of the exchange until the callback is called.
         self._outcome: _messages.Response | ExchangeFailed | None = None
         self._is_own: Callable[[_messages.Response], bool] | None = None
         self._response: _messages.Response | None = None
         self._chunks: list[bytes] = []
-        self._size = 0
-        self._foreign = 0
-        self._is_unframed = False
+        self._body_size = 0
+        self._skipped_responses = 0
+        self._is_close_delimited = False
         self._is_head = False
 
     async def exchange(
@@ -100,26 +108,33 @@
         is_own: Callable[[_messages.Response], bool],
         is_head: bool = False,
     ) -> _messages.Response:
-        """Send an encoded request and wait for its whole answer.
+        """Send an encoded request and wait for its complete response.
 
         Parameters
         ----------
         data : bytes
             The encoded request.
         is_own : callable
-            Says whether an answer belongs to this request; others are
-            left out, and the connection is not used again.
+            Returns whether a response belongs to this request.  Other
+            responses are discarded, and the connection is not reused.
         is_head : bool
-            Whether the answer has no body.
+            Whether the request is a HEAD request, whose response has no
+            body.
+
+        Returns
+        -------
+        Response
+            The complete response.
 
         Raises
         ------
         ExchangeFailed
-            When the connection ends or the answer is malformed.
+            If the connection is lost, or the response is malformed or too
+            large.
         """
         waiter = self.loop.create_future()
         self.begin_exchange(
-            data, is_own, functools.partial(_settle, waiter), is_head
+            data, is_own, functools.partial(_set_outcome, waiter), is_head
         )
         try:
             return await waiter
@@ -131,40 +146,41 @@
         self,
         data: bytes,
         is_own: Callable[[_messages.Response], bool],
-        on_end: OnEnd,
+        on_end: ExchangeCallback,
         is_head: bool = False,
     ) -> None:
-        """Send an encoded request, and tell of its whole answer.
+        """Send an encoded request and call back when the exchange ends.
 
-        As :meth:`exchange`, for those that need no task to wait in.
+        Callback variant of :meth:`exchange`, for callers that need no task.
 
         Parameters
         ----------
         data, is_own, is_head
-            As there.
+            As in :meth:`exchange`.
         on_end : callable
-            Called with the answer, or with why there is none.
+            Called with the response or an `ExchangeFailed`.
         """
         self._parser = self._parser or httptools.HttpResponseParser(self)
         self._on_end = on_end
         self._outcome = None
         self._is_own = is_own
         self._is_head = is_head
-        self._is_unframed = False
-        self._foreign = 0
+        self._is_close_delimited = False
+        self._skipped_responses = 0
         self.received_bytes = 0
         self.transport.write(data)
 
-    def _tell_end(self) -> None:
-        """Tell how the exchange ended, if it has."""
+    def _notify_end(self) -> None:
+        """Call the callback if the exchange has ended."""
         outcome, self._outcome = self._outcome, None
         if outcome is None:
             return
         on_end, self._on_end = self._on_end, None
         is_failed = isinstance(outcome, ExchangeFailed)
         if is_failed or self.transport.get_write_buffer_size():
-            # Answered before the body had left: what is due next on this
-            # connection is the rest of that body.
+            # The response arrived before the request body was sent
+            # completely: the peer would read the rest of the body as the
+            # next request.
             self.is_sound = False
         if not self.is_sound:
             self.close()
@@ -173,61 +189,61 @@
     async def wait_unless_silent(
         self, exchange: asyncio.Future, silence_s: float
     ) -> None:
-        """Wait for an exchange as long as the peer goes on sending.
+        """Wait for an exchange as long as the peer keeps sending data.
 
-        A large answer over a narrow link takes its time; a peer that sends
-        nothing is given up.
+        A large response over a slow link may take long, so only the time
+        without any received data is limited.
 
         Parameters
         ----------
         exchange : Future
-            Of :meth:`exchange`.
+            Future of :meth:`exchange`.
         silence_s : float
-            Longest time without a byte.
+            Longest time without received data, in seconds.
 
         Raises
         ------
         ExchangeFailed
-            When the peer is silent for longer.
+            If no data arrives for longer than `silence_s`.
         """
         started_s = self.loop.time()
         while not exchange.done():
-            until_s = max(started_s, self.heard_s) + silence_s
-            left_s = until_s - self.loop.time()
-            if left_s <= 0:
-                raise ExchangeFailed(f'silent for {silence_s:.1f} s')
-            await asyncio.wait((exchange,), timeout=left_s)
+            deadline_s = max(started_s, self.heard_s) + silence_s
+            remaining_s = deadline_s - self.loop.time()
+            if remaining_s <= 0:
+                raise ExchangeFailed(f'no data received for {silence_s:.1f} s')
+            await asyncio.wait((exchange,), timeout=remaining_s)
 
     def abandon(self) -> None:
-        """Close at once, and tell nobody how the exchange ended."""
+        """Close immediately without calling the callback."""
         self._on_end = None
         self.close()
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """Of what was sent, what the peer's host has not acknowledged."""
+        """Bytes sent that the host of the peer has not acknowledged."""
         in_kernel = _sockets.find_unacknowledged_bytes(self.transport)
         return self.transport.get_write_buffer_size() + in_kernel
 
     def close(self) -> None:
-        """Close at once; what is under way is cancelled at the peer."""
+        """Close immediately; the peer cancels a request in progress."""
         self.is_sound = False
         if self.transport is not None:
             self.transport.abort()
 
-    # What the transport tells.
+    # Callbacks of asyncio.Protocol.
 
     def connection_made(self, transport):
-        """Set the options of the socket."""
+        """Configure the socket."""
         self.transport = transport
-        _sockets.tune_socket(
+        _sockets.configure_socket(
             transport.get_extra_info('socket'),
-            UNACKNOWLEDGED_LIMIT_MS,
-            PROBE_AFTER_S,
+            TCP_USER_TIMEOUT_MS,
+            KEEPALIVE_INTERVAL_S,
         )
 
     def data_received(self, data):
-        """Feed the parser; bytes that nobody waits for spoil it."""
+        """Feed the parser; close the connection on unexpected data."""
         self.heard_s = self.loop.time()
         self.received_bytes += len(data)
         if self._on_end is None:
@@ -238,76 +254,83 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
             self.is_sound = False
             if not self._is_answered():
-                self._fail(f'malformed answer: {e}')
-        self._tell_end()
+                self._fail(f'malformed response: {e}')
+        self._notify_end()
 
     def eof_received(self):
-        """End an answer without length, or fail."""
+        """Complete a response that is delimited by the close.
+
+        Any other unfinished exchange fails in :meth:`connection_lost`.
+        """
         self.is_sound = False
-        if self._response is not None and self._is_unframed:
+        if self._response is not None and self._is_close_delimited:
             self._complete()
-            self._tell_end()
+            self._notify_end()
         return False
 
     def connection_lost(self, exc):
-        """Fail what is under way."""
+        """Fail the exchange in progress."""
         self.is_sound = False
         self._fail(f'connection lost: {exc}')
-        self._tell_end()
-        # It refers to this connection, and would outlive it.
+        self._notify_end()
+        # The parser refers to this connection.  Dropping it breaks the
+        # reference cycle, which would keep both in memory.
         self._parser = None
 
-    # What the parser tells.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
-        """Start an answer; a second one after the own spoils it."""
+        """Start a response.
+
+        A response after the expected one makes the connection unusable.
+        """
         if self._is_answered():
             self.is_sound = False
             self._response = None
             return
         self._response = _messages.Response(0, [])
         self._chunks = []
-        self._size = 0
+        self._body_size = 0
 
     def on_status(self, status):
-        """Keep the reason phrase."""
+        """Append to the reason phrase."""
         if self._response is not None:
             self._response.reason += status.decode('latin-1')
 
     def on_header(self, name, value):
-        """Gather one field."""
+        """Add one header field."""
         if self._response is not None:
             self._response.headers.append(
                 (name.decode('latin-1'), value.decode('latin-1'))
             )
 
     def on_headers_complete(self):
-        """Find out how the body ends."""
+        """Determine how the body is delimited."""
         response = self._response
         if response is None:
             return
         response.status = self._parser.get_status_code()
         response.fields = _headers.index_headers(response.headers)
-        is_framed = not _FRAMING.isdisjoint(response.fields)
-        bodiless = response.status < 200 or response.status in (204, 304)
-        self._is_unframed = not is_framed and not bodiless
+        is_framed = not _FRAMING_FIELDS.isdisjoint(response.fields)
+        is_bodiless = response.status < 200 or response.status in (204, 304)
+        self._is_close_delimited = not is_framed and not is_bodiless
         if self._is_head and response.status >= 200:
             self.is_sound = False
             self._complete()
 
     def on_body(self, body):
-        """Gather a piece of the body."""
+        """Add a part of the body."""
         if self._response is None:
             return
-        self._size += len(body)
-        if self._size > BODY_LIMIT_BYTES:
+        self._body_size += len(body)
+        if self._body_size > BODY_LIMIT_BYTES:
             self.is_sound = False
-            self._fail('answer too large')
+            self._fail('response body too large')
             return
         self._chunks.append(body)
 
     def on_message_complete(self):
-        """End an answer whose length is known."""
+        """Complete a response whose length is known."""
         response = self._response
         if response is None or response.status < 200:
             self._response = None
@@ -322,22 +345,25 @@
         response.body = b''.join(self._chunks)
         self._chunks = []
         if not self._is_own(response):
-            # A late answer to an earlier request; the own one may follow.
+            # A late response to an earlier request; the expected one may
+            # follow.
             self.is_sound = False
-            self._foreign += 1
-            LOG.info('answer of another request left out')
-            if self._foreign > FOREIGN_LIMIT:
-                self._fail('too many answers of other requests')
+            self._skipped_responses += 1
+            LOG.info('discarded a response to another request')
+            if self._skipped_responses > SKIPPED_RESPONSES_LIMIT:
+                self._fail('too many responses to other requests')
             return
-        self._note_keep_alive(response)
+        self._update_keep_alive(response)
         if not self._is_answered():
             self._outcome = response
 
-    def _note_keep_alive(self, response: _messages.Response) -> None:
-        stated = response.find('keep-alive')
-        if stated:
-            kept_s = _parse_keep_alive_s(stated)
-            self.kept_until_s = self.loop.time() + kept_s * KEPT_SHARE
+    def _update_keep_alive(self, response: _messages.Response) -> None:
+        field_value = response.find('keep-alive')
+        if field_value:
+            keep_alive_s = _parse_keep_alive_s(field_value)
+            self.reusable_until_s = (
+                self.loop.time() + keep_alive_s * KEEP_ALIVE_REUSE_SHARE
+            )
 
     def _is_answered(self) -> bool:
         return self._on_end is None or self._outcome is not None
@@ -347,12 +373,13 @@
             self._outcome = ExchangeFailed(detail)
 
 
-def _settle(
+def _set_outcome(
     waiter: asyncio.Future, outcome: _messages.Response | ExchangeFailed
 ) -> None:
-    """Wake up the task that waits for an exchange."""
+    """Set the result of an exchange on the future of the waiting task."""
     if waiter.done():
-        # Cancelled in this turn; its connection is closed.
+        # Cancelled in this iteration of the event loop; `exchange` closes
+        # the connection.
         return
     if isinstance(outcome, ExchangeFailed):
         waiter.set_exception(outcome)
@@ -360,10 +387,10 @@
         waiter.set_result(outcome)
 
 
-@functools.lru_cache(maxsize=KEEP_ALIVE_VALUES)
-def _parse_keep_alive_s(stated: str) -> float:
-    """Return the time in a field ``Keep-Alive``; endless without one."""
-    for part in stated.split(','):
+@functools.lru_cache(maxsize=KEEP_ALIVE_CACHE_SIZE)
+def _parse_keep_alive_s(field_value: str) -> float:
+    """Return the timeout of a ``Keep-Alive`` field; infinite without one."""
+    for part in field_value.split(','):
         name, _equals, value = part.strip().partition('=')
         if name.lower() == 'timeout' and value.isdigit():
             return float(value)
@@ -375,15 +402,23 @@
 ) -> ClientConnection:
     """Open a connection.
 
+    Parameters
+    ----------
+    address, port
+        Where to connect.
+    timeout_s : float
+        Longest time to establish the connection, in seconds.
+
     Raises
     ------
     ConnectFailed
-        When it does not come about in time.
+        If the connection is not established within `timeout_s`.
     """
     loop = asyncio.get_running_loop()
     try:
-        # Not asyncio.wait_for: it loses a cancellation that comes as the
-        # connection opens, and makes a task of its own for each.
+        # asyncio.wait_for would lose a cancellation in the iteration of the
+        # event loop in which the connection opens, and creates an extra task
+        # for each call.
         async with asyncio.timeout(timeout_s):
             _transport, connection = await loop.create_connection(
                 lambda: ClientConnection(loop), address, port
--- a/sedgering/transport/_headers.py
+++ b/sedgering/transport/_headers.py
@@ -1,4 +1,4 @@
-"""Header fields: kept as they came, found by their name in lower case."""
+"""Header fields: stored as received, looked up by lower-case name."""
 
 __all__ = [
     'HOP_NAMES',
@@ -8,10 +8,11 @@
     'strip_hop_headers',
 ]
 
-#: Name and value as they came, in the order of the message.
+#: Names and values as received, in the order of the message.
 Headers = list[tuple[str, str]]
 
-#: Fields that concern one connection only (RFC 9110, section 7.6.1).
+#: Hop-by-hop fields, which concern one connection only (RFC 9110, section
+#: 7.6.1).
 HOP_NAMES = frozenset(
     (
         'connection',
@@ -30,18 +31,18 @@
 
 
 def find_header(headers: Headers, name: str) -> str | None:
-    """Return the first value of a field; `name` is in lower case."""
+    """Return the first value of a field; `name` must be lower case."""
     length = len(name)
-    for other, value in headers:
-        # Most names differ in length: three of four need no lower().
-        if len(other) == length and other.lower() == name:
+    for field_name, value in headers:
+        # Comparing lengths first avoids lower() for three of four fields.
+        if len(field_name) == length and field_name.lower() == name:
             return value
     return None
 
 
 def index_headers(headers: Headers) -> dict[str, str]:
-    """Return the first value of each field by its name in lower case."""
-    # The first value is the last one written.
+    """Return the first value of each field by its lower-case name."""
+    # In reverse order, so that the first value replaces later ones.
     return {name.lower(): value for name, value in reversed(headers)}
 
 
@@ -50,31 +51,33 @@
     dropped: frozenset[str] = HOP_NAMES,
     prefix: str = '',
 ) -> Headers:
-    """Return the fields that are passed on to the next hop.
+    """Return the fields that are forwarded to the next hop.
 
     Parameters
     ----------
     headers : Headers
-        Of the message received.
+        Fields of the received message.
     dropped : frozenset of str
-        Names to leave out, in lower case: at least those of the connection.
+        Lower-case names to remove; must include `HOP_NAMES`.
     prefix : str
-        Names that begin with it are left out, too; in lower case.
+        Lower-case prefix; fields whose names start with it are removed, too.
 
     Returns
     -------
     Headers
-        Without `dropped`, and without those that the field ``Connection``
-        names.
+        The remaining fields.  Fields that are listed in ``Connection`` are
+        removed, too.
     """
-    named = find_header(headers, 'connection')
-    if named:
-        dropped |= {item.strip().lower() for item in named.split(',')}
+    connection_options = find_header(headers, 'connection')
+    if connection_options:
+        dropped |= {
+            option.strip().lower() for option in connection_options.split(',')
+        }
     if not prefix:
-        return [item for item in headers if item[0].lower() not in dropped]
+        return [field for field in headers if field[0].lower() not in dropped]
     return [
-        item
-        for item in headers
-        if (name := item[0].lower()) not in dropped
+        field
+        for field in headers
+        if (name := field[0].lower()) not in dropped
         and not name.startswith(prefix)
     ]
--- a/sedgering/transport/_load.py
+++ b/sedgering/transport/_load.py
@@ -1,4 +1,4 @@
-"""What the connections of one listener hold, for logs and metrics."""
+"""Pending requests and responses of one listener, for logs and metrics."""
 
 import math
 
@@ -8,25 +8,27 @@
 
 
 class ServiceLoad(msgspec.Struct):
-    """Requests without an answer, and answers that have not arrived.
+    """Requests without a response, and responses not yet acknowledged.
 
     Parameters
     ----------
     requests : int
-        Read, and not answered yet.
+        Requests that are read and not answered yet.
     answers : int
-        Ready, and not acknowledged whole; those that were handed to one
-        connection together count as one.
+        Responses that are ready and not acknowledged completely.  Those that
+        were written to the buffer of one connection count as one.
     held_answers, held_bytes : int
-        Of these, what this process holds: behind earlier answers of their
-        connection, in pieces, or in the buffer before a socket that takes no
-        more.  It is lost with the process.
+        Number and size of the responses that this process still holds: they
+        wait for an earlier response of their connection, are written in
+        pieces, or are in the write buffer of a socket that accepts no more
+        data.  They are lost when the process ends.
     unacknowledged_bytes : int
-        Of these, what the kernel holds and the hosts of the readers have not
+        Response data in the kernel that the hosts of the callers have not
         acknowledged.
-    oldest_s : float
-        Time of the event loop since which the oldest of all waits; a written
-        answer counts from then on.  Infinite when there is none.
+    oldest_since_s : float
+        Time of the event loop since which the oldest of all waits: for a
+        request, its arrival; for a written response, the last activity of
+        its connection.  Infinite when there is none.
     """
 
     requests: int = 0
@@ -34,8 +36,8 @@
     held_answers: int = 0
     held_bytes: int = 0
     unacknowledged_bytes: int = 0
-    oldest_s: float = math.inf
+    oldest_since_s: float = math.inf
 
     def find_age_ms(self, now_s: float) -> int:
-        """Return for how long the oldest has waited."""
-        return max(0, int((now_s - min(now_s, self.oldest_s)) * 1000))
+        """Return how long the oldest has waited, in milliseconds."""
+        return max(0, int((now_s - min(now_s, self.oldest_since_s)) * 1000))
--- a/sedgering/transport/_loop.py
+++ b/sedgering/transport/_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a daemon: its clock, and how often it asks for I/O."""
+"""Event loop of a daemon: its clock, and how often it polls for I/O."""
 
 import asyncio
 import functools
@@ -7,49 +7,51 @@
 
 __all__ = ['BootTimeLoop']
 
-#: Turns in a row that run what is ready without a look at the sockets.  A call
-#: passes some ten turns, of which three wait for a socket.
-TURNS_WITHOUT_LOOK = 6
+#: Most iterations in a row that run ready callbacks without polling the
+#: sockets.  A call takes about ten iterations, three of which wait for a
+#: socket.
+SKIPPED_POLLS_LIMIT = 6
 
 
-class _SparingSelector(selectors.EpollSelector):
-    """Looks at the sockets when nothing else is ready, or each few turns.
+class _SkippingSelector(selectors.EpollSelector):
+    """Polls the sockets when no callback is ready, or every few iterations.
 
-    The loop asks for I/O each turn, also when callbacks are ready; what they
-    begin is ready in the next turn, and each look is a system call.
+    The event loop polls in each iteration, even when callbacks are ready.
+    Each poll is a system call, and callbacks often schedule further ones for
+    the next iteration.
     """
 
     def __init__(self):
         super().__init__()
-        self._turns = 0
+        self._skipped_polls = 0
 
     def select(self, timeout=None):
-        """Return what is ready; nothing at once where others wait to run.
+        """Return the ready sockets, or an empty list when polling is skipped.
 
         Parameters
         ----------
         timeout : float or None
-            Longest wait; 0 where callbacks are ready.
+            Longest wait in seconds; 0 when callbacks are ready.
         """
-        if timeout == 0 and self._turns < TURNS_WITHOUT_LOOK:
-            self._turns += 1
+        if timeout == 0 and self._skipped_polls < SKIPPED_POLLS_LIMIT:
+            self._skipped_polls += 1
             return []
-        self._turns = 0
+        self._skipped_polls = 0
         return super().select(timeout)
 
 
 class BootTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on while its host is suspended.
+    """An event loop whose clock advances while the host is suspended.
 
-    The steady clock stands still meanwhile, and all deadlines would last
-    longer by that time: callers that have gone would be worked for, and
-    targets given more time than is left.  So a suspension is to a daemon what
-    a process is that was stopped.
+    The monotonic clock stops during a suspension, which would extend all
+    deadlines by its length: the daemon would work for callers that have given
+    up, and grant targets more time than remains.  With this clock, a
+    suspension of the host has the same effect as stopping the process.
     """
 
-    #: Return the seconds since the host was booted.  Without a frame of Python
-    #: in between: the loop reads its clock five times a turn.
+    #: Return the seconds since the host was booted.  A partial avoids a Python
+    #: frame: the event loop reads its clock five times per iteration.
     time = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
 
     def __init__(self):
-        super().__init__(_SparingSelector())
+        super().__init__(_SkippingSelector())
--- a/sedgering/transport/_messages.py
+++ b/sedgering/transport/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses with whole bodies, and their encoding."""
+"""Requests and responses with complete bodies, and their encoding."""
 
 import http
 import json
@@ -15,33 +15,33 @@
     'make_json_response',
 ]
 
-_REASONS = {int(item): item.phrase for item in http.HTTPStatus}
+_REASON_PHRASES = {int(item): item.phrase for item in http.HTTPStatus}
 
 
 class Request(msgspec.Struct):
-    """A request whose body has arrived whole.
+    """A request with its complete body.
 
     Parameters
     ----------
     method : str
-        As received.
+        Method as received.
     url : str
         Path and query as received.
     headers : Headers
-        As received.
+        Fields as received.
     body : bytes
-        Decoded from chunks; empty where there is none.
+        Body without chunked transfer coding; empty when there is none.
     has_body : bool
-        Whether the request stated a body, be it empty.
+        Whether the request declares a body, even an empty one.
     received_s : float
-        Time of the event loop at which its head began to arrive.
+        Time of the event loop at which the head began to arrive.
     fields : dict of str to str or None
-        First value of each field by its name in lower case, as it was
-        received: a message is asked for a dozen of them.  None where it was
-        not received.
+        First value of each received field by its lower-case name.  The index
+        pays off because about a dozen fields are looked up per message.
+        None for a message that was not received.
     workspace : str
-        That asks, where a daemon has found it out; its key is no field any
-        more.
+        Workspace of the caller, once a daemon has identified it by its key;
+        the key is then no longer among the fields.
     """
 
     method: str
@@ -54,31 +54,31 @@
     workspace: str = ''
 
     def find(self, name: str) -> str | None:
-        """Return the first value of a field; `name` is in lower case."""
+        """Return the first value of a field; `name` must be lower case."""
         if self.fields is None:
             return _headers.find_header(self.headers, name)
         return self.fields.get(name)
 
 
 class Response(msgspec.Struct):
-    """A response whose body has arrived whole.
+    """A response with its complete body.
 
     Parameters
     ----------
     status : int
         Status code.
     headers : Headers
-        As received, or as they are to be sent.
+        Fields as received, or as they are to be sent.
     body : bytes
-        Decoded from chunks.
+        Body without chunked transfer coding.
     reason : str
-        Reason phrase; the standard one where it is empty.
+        Reason phrase; if empty, the standard one of the status.
     must_close : bool
-        Whether the connection is closed after it.
+        Whether the connection is closed after the response.
     fields : dict of str to str or None
-        First value of each field by its name in lower case, as it was
-        received: a message is asked for a dozen of them.  None where it was
-        not received.
+        First value of each received field by its lower-case name.  The index
+        pays off because about a dozen fields are looked up per message.
+        None for a message that was not received.
     """
 
     status: int
@@ -89,7 +89,7 @@
     fields: dict[str, str] | None = None
 
     def find(self, name: str) -> str | None:
-        """Return the first value of a field; `name` is in lower case."""
+        """Return the first value of a field; `name` must be lower case."""
         if self.fields is None:
             return _headers.find_header(self.headers, name)
         return self.fields.get(name)
@@ -98,14 +98,14 @@
 def encode_request(
     request: Request, headers: _headers.Headers | None = None
 ) -> bytes:
-    """Encode a request with the length of its body.
+    """Encode a request with the Content-Length of its body.
 
     Parameters
     ----------
     request : Request
-        To send.
+        Request to send.
     headers : Headers or None
-        Sent in place of its own.
+        Sent instead of the fields of the request.
     """
     if headers is None:
         headers = request.headers
@@ -120,18 +120,18 @@
 def encode_response(
     response: Response, connection: str, is_head: bool = False
 ) -> bytes:
-    """Encode a response with the length of its body.
+    """Encode a response with the Content-Length of its body.
 
     Parameters
     ----------
     response : Response
-        To send.
+        Response to send.
     connection : str
-        Lines of the fields ``Connection`` and ``Keep-Alive``.
+        Encoded header line ``Connection`` or ``Keep-Alive``.
     is_head : bool
-        Whether it answers a HEAD request, which gets no body.
+        Whether the request was a HEAD request, whose response has no body.
     """
-    reason = response.reason or _REASONS.get(response.status, 'Unknown')
+    reason = response.reason or _REASON_PHRASES.get(response.status, 'Unknown')
     lines = [f'HTTP/1.1 {response.status} {reason}']
     lines += [f'{name}: {value}' for name, value in response.headers]
     lines.append(connection)
--- a/sedgering/transport/_pool.py
+++ b/sedgering/transport/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one address, the last used first."""
+"""Pool of idle connections to one address, last used first."""
 
 import asyncio
 
@@ -8,19 +8,19 @@
 
 
 class ConnectionPool:
-    """Connections to one address.
+    """Pool of connections to one address.
 
     Parameters
     ----------
     address, port
         Where to connect.
     connect_timeout_s : float
-        Longest wait for a new connection.
+        Longest time to establish a new connection, in seconds.
     idle_limit : int
-        Most idle connections kept.
+        Largest number of idle connections kept.
     idle_s : float
-        Longest time for which an idle connection is used again, unless
-        the peer states a shorter one.
+        Longest idle time, in seconds, after which a connection is reused,
+        unless the peer announces a shorter one.
     """
 
     def __init__(
@@ -40,21 +40,24 @@
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is open and free."""
+        """Whether a reusable idle connection exists."""
         return any(item.is_sound for _since_s, item in self._idle)
 
     async def take(self) -> _client.ClientConnection:
-        """Take an idle connection that is still sound, or open one.
+        """Take a reusable idle connection, or open a new one.
 
         Raises
         ------
         ConnectFailed
-            When a new connection does not come about.
+            If a new connection cannot be established.
         """
         return self.take_idle() or await self.open()
 
     def take_idle(self) -> _client.ClientConnection | None:
-        """Take an idle connection that is still sound, if there is one."""
+        """Take a reusable idle connection; None if there is none.
+
+        Idle connections that are no longer reusable are closed.
+        """
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             since_s, connection = self._idle.pop()
@@ -62,26 +65,26 @@
             if (
                 connection.is_sound
                 and is_fresh
-                and now_s < connection.kept_until_s
+                and now_s < connection.reusable_until_s
             ):
                 return connection
             connection.close()
         return None
 
     async def open(self) -> _client.ClientConnection:
-        """Open a connection.
+        """Open a new connection.
 
         Raises
         ------
         ConnectFailed
-            When it does not come about.
+            If it cannot be established.
         """
         return await _client.connect(
             self.address, self.port, self.connect_timeout_s
         )
 
     def put(self, connection: _client.ClientConnection) -> None:
-        """Keep a connection whose exchange ended cleanly."""
+        """Return a connection; close it if unusable or if the pool is full."""
         if not connection.is_sound or len(self._idle) >= self.idle_limit:
             connection.close()
             return
--- a/sedgering/transport/_server.py
+++ b/sedgering/transport/_server.py
@@ -1,4 +1,4 @@
-"""Connections of callers: whole requests in, answers out in their order."""
+"""HTTP/1.1 server connections: complete requests, responses in order."""
 
 import abc
 import asyncio
@@ -22,36 +22,37 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Requests of one connection that are worked on at the same time; more
-#: wait unread.  A caller that sends ahead rarely goes beyond a few.
+#: Pipelined requests of one connection that are answered concurrently.
+#: Reading pauses at this number; callers rarely pipeline more than a few.
 PIPELINE_DEPTH = 16
-#: A peer that acknowledges nothing for so long is taken as gone.
-UNACKNOWLEDGED_LIMIT_MS = 4000
-#: Silence after which a peer is probed, and between probes.
-PROBE_AFTER_S = 2
-#: Largest chunk of request bodies kept by one process; beyond it requests
+#: TCP_USER_TIMEOUT: the connection fails when sent data stays
+#: unacknowledged for longer.
+TCP_USER_TIMEOUT_MS = 4000
+#: Idle time before the first TCP keep-alive probe, and between probes.
+KEEPALIVE_INTERVAL_S = 2
+#: Total size of the request bodies that one process holds; beyond it requests
 #: with a body are refused.  A fifth of the smallest memory limit, 200 MB.
-BODY_MEMORY_BYTES = 40 * 1024 * 1024
-
-#: Time for which a caller that has its last answer may take to close.
+BODY_MEMORY_LIMIT_BYTES = 40 * 1024 * 1024
+#: How long a caller may take to close after its last response; also the
+#: interval at which unsent data is checked while lingering.
 LINGER_S = 1.0
 
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take.
+    """Size and time limits for callers.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-        Largest head and body.
+        Largest head and body of a request.
     header_timeout_ms : int
-        Longest time from the first byte of a head to its end.
+        Longest time from the first to the last byte of a head.
     body_timeout_ms : int
-        Longest silence within a body.
+        Longest time without received data within a body.
     idle_timeout_ms : int
-        Longest time without a request on a kept connection.
+        Longest time without a request on a persistent connection.
     """
 
     header_bytes: int = 64 * 1024
@@ -64,32 +65,38 @@
 class Service(abc.ABC):
     """Answers the requests of one listener."""
 
-    #: Whether answers carry ``Connection: close`` from now on.
+    #: Whether responses carry ``Connection: close``.
     is_closing = False
-    #: Shares the link among large answers; None where that is not needed.
+    #: Paces large responses on the link; None if that is not needed.
     pacer: _pacing.LinkPacer | None = None
 
     def __init__(self):
         self.connections: set[ServerConnection] = set()
-        #: Bytes of all connections since the start.
+        #: Bytes received on all connections since the start.
         self.received_bytes = 0
-        self._look_timer: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
 
     @abc.abstractmethod
     async def answer(
         self, request: _messages.Request
     ) -> _messages.Response | None:
-        """Answer one request; None closes the connection unanswered.
+        """Answer one request.
+
+        The call is cancelled when the caller disconnects.
 
-        The call is cancelled when the caller is gone.
+        Returns
+        -------
+        Response or None
+            None closes the connection without a response.
         """
 
     def begin(
         self, request: _messages.Request
     ) -> Coroutine | _messages.Response:
-        """Return what answers a request, or its answer where it is known.
+        """Return a response, or a coroutine that returns it.
 
-        An answer that waits for nothing needs no task: 0.1 ms less.
+        A response that is available immediately needs no task, which saves
+        0.1 ms.
         """
         return self.answer(request)
 
@@ -97,50 +104,53 @@
     def find_limits(self) -> CallerLimits:
         """Return the limits in force now."""
 
-    def note_opened(self, connection: 'ServerConnection') -> None:
-        """Take in a connection, and look at its limits from now on."""
+    def add_connection(self, connection: 'ServerConnection') -> None:
+        """Register a connection and start the timeout checks."""
         self.connections.add(connection)
-        if self._look_timer is None:
-            self._plan_look()
+        if self._check_timer is None:
+            self._schedule_check()
+
+    def _schedule_check(self) -> None:
+        """Schedule the next timeout check.
 
-    def _plan_look(self) -> None:
-        """Look again when the earliest limit may have passed."""
+        The interval is a quarter of the shorter of the two timeouts.
+        """
         limits = self.find_limits()
         wait_ms = min(limits.header_timeout_ms, limits.idle_timeout_ms) / 4
-        self._look_timer = asyncio.get_running_loop().call_later(
-            wait_ms / 1000, self._look
+        self._check_timer = asyncio.get_running_loop().call_later(
+            wait_ms / 1000, self._check_connections
         )
 
-    def _look(self) -> None:
-        """Close the connections whose time is up.
+    def _check_connections(self) -> None:
+        """Check the timeouts of all connections.
 
-        All at once: each look at its own time wakes the process up, and a
-        daemon has some hundred connections.
+        One timer serves all connections: a daemon has some hundred, and a
+        timer for each would wake up the process far more often.
         """
-        self._look_timer = None
+        self._check_timer = None
         if self.connections:
-            self._plan_look()
+            self._schedule_check()
         limits = self.find_limits()
         for connection in list(self.connections):
-            connection.check_time(limits)
+            connection.check_timeouts(limits)
 
     def find_load(self) -> _load.ServiceLoad:
-        """Tell what all connections hold."""
+        """Return the pending requests and responses of all connections."""
         load = _load.ServiceLoad()
         for connection in self.connections:
             connection.add_load(load)
         return load
 
     def refuse(self, status: int) -> _messages.Response:
-        """Make the answer to a request that could not be read."""
+        """Make the error response to a request that could not be read."""
         return _messages.make_json_response(status, {'error': status})
 
 
 class _Pending:
-    """A request that waits for its answer, and its place in the order."""
+    """A request and its response, in the order of the connection."""
 
     __slots__ = (
-        'begun',
+        'coroutine',
         'body_bytes',
         'data',
         'is_head',
@@ -154,36 +164,36 @@
         self.is_head = False
         self.must_close = False
         self.received_s = math.inf
-        #: Of its body, while it is counted.
+        #: Size of the body while it counts towards `BodyMemory`.
         self.body_bytes = 0
-        #: What answers it, and the task that runs that.
-        self.begun: Coroutine | None = None
+        #: Coroutine that answers the request, and the task that runs it.
+        self.coroutine: Coroutine | None = None
         self.task: asyncio.Task | None = None
 
     def release_body(self) -> None:
-        """Count its body no more."""
+        """Subtract the body from `BodyMemory`."""
         BodyMemory.used_bytes -= self.body_bytes
         self.body_bytes = 0
 
     def cancel(self) -> None:
-        """Give it up: nobody waits for its answer."""
+        """Cancel the task: the caller no longer waits for the response."""
         self.release_body()
         if self.task is not None:
-            self.task.add_done_callback(self._end_unbegun)
+            self.task.add_done_callback(self._close_unstarted)
             self.task.cancel()
 
-    def _end_unbegun(self, _task: asyncio.Task) -> None:
-        """End what was cancelled before its first step."""
-        self.begun.close()
+    def _close_unstarted(self, _task: asyncio.Task) -> None:
+        """Close the coroutine of a task cancelled before its first step."""
+        self.coroutine.close()
 
 
 class BodyMemory:
-    """Bytes of request bodies that this process holds."""
+    """Total size of the request bodies that this process holds."""
 
     used_bytes = 0
 
 
-def _release(size: int) -> None:
+def _release_body_memory(size: int) -> None:
     BodyMemory.used_bytes -= size
 
 
@@ -195,7 +205,7 @@
     service : Service
         Answers the requests.
     loop : AbstractEventLoop
-        Runs the connection.
+        Event loop of the connection.
     """
 
     def __init__(self, service: Service, loop: asyncio.AbstractEventLoop):
@@ -209,65 +219,68 @@
         self._request: _messages.Request | None = None
         self._chunks: list[bytes] = []
         self._body_size = 0
-        self._fields_size = 0
-        #: Of the request that is being read.
+        self._fields_bytes = 0
+        #: Largest head of the request that is being read.
         self._head_limit_bytes = 0
         self._url = b''
         self._is_reading_head = False
-        self._is_refused = False
+        self._is_discarding_input = False
         self._is_paused = False
-        self._is_ended = False
-        #: Whether all is written, and the caller is to close.
+        self._is_closing = False
+        #: Whether the output is closed and the caller is expected to close.
         self._is_lingering = False
-        #: Until when a large answer may wait in the kernel; a system call
-        #: tells, so that connections with small ones are not asked.
-        self._large_until_s = 0.0
-        #: Answers that are being written in pieces.
-        self._paced: collections.deque[_pacing.PacedWrite] = (
+        #: Time until which a large response may be unacknowledged.  Finding
+        #: out takes a system call, which connections with only small
+        #: responses avoid.
+        self._large_unacknowledged_until_s = 0.0
+        #: Responses that are being written in pieces.
+        self._paced_writes: collections.deque[_pacing.PacedWrite] = (
             collections.deque()
         )
 
-    # What the transport tells.
+    # Callbacks of asyncio.Protocol.
 
     def connection_made(self, transport):
-        """Start to wait for the first head."""
+        """Configure the socket and register the connection."""
         self.transport = transport
-        _sockets.tune_socket(
+        _sockets.configure_socket(
             transport.get_extra_info('socket'),
-            UNACKNOWLEDGED_LIMIT_MS,
-            PROBE_AFTER_S,
+            TCP_USER_TIMEOUT_MS,
+            KEEPALIVE_INTERVAL_S,
         )
-        self.service.note_opened(self)
+        self.service.add_connection(self)
 
     def connection_lost(self, exc):
-        """Cancel what is under way: the caller is gone."""
-        self._is_ended = True
+        """Cancel all requests in progress: the caller has disconnected."""
+        self._is_closing = True
         self.service.connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
         self._release_body()
-        for paced in self._paced:
+        for paced in self._paced_writes:
             paced.cancel()
-        self._paced.clear()
+        self._paced_writes.clear()
         for item in self.pending:
             item.cancel()
         self.pending.clear()
 
     def data_received(self, data):
-        """Feed the parser; whole requests start as they end."""
+        """Feed the parser, which starts each request once it is complete."""
         self.service.received_bytes += len(data)
-        if self._is_refused:
+        if self._is_discarding_input:
             return
         self.last_activity_s = self.loop.time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self._refuse(400)
-        except _Refused as error:
+        except _RefusedRequest as error:
             self._refuse(error.status)
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            status = cause.status if isinstance(cause, _Refused) else 400
+            status = (
+                cause.status if isinstance(cause, _RefusedRequest) else 400
+            )
             self._refuse(status)
         except httptools.HttpParserError as error:
             LOG.info('request refused: %s', error)
@@ -277,16 +290,16 @@
             self.transport.pause_reading()
 
     def eof_received(self):
-        """Take the end of the stream as the end of the caller."""
+        """Close the connection: a half-closed caller counts as gone."""
         return False
 
-    # What the parser tells.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
-        """Note when a head begins."""
+        """Start a request and record when its head begins."""
         self._is_reading_head = True
         self._head_limit_bytes = self.service.find_limits().header_bytes
-        self._fields_size = 0
+        self._fields_bytes = 0
         self._url = b''
         self._chunks = []
         self._body_size = 0
@@ -295,27 +308,27 @@
         )
 
     def on_url(self, url):
-        """Gather the request target."""
+        """Append to the request target."""
         self._url += url
         if len(self._url) > self._head_limit_bytes:
-            raise _Refused(431)
+            raise _RefusedRequest(431)
 
     def on_header(self, name, value):
-        """Gather one field; those behind a body are dropped.
+        """Add one header field; trailer fields are dropped.
 
-        Nobody has checked them: passed on within the head they would pass for
-        fields that were (RFC 9110, section 6.5.1).
+        Trailer fields are not validated.  Merged into the head, they would be
+        taken for header fields that were (RFC 9110, section 6.5.1).
         """
-        self._fields_size += len(name) + len(value)
-        if self._fields_size > self._head_limit_bytes:
-            raise _Refused(431)
+        self._fields_bytes += len(name) + len(value)
+        if self._fields_bytes > self._head_limit_bytes:
+            raise _RefusedRequest(431)
         if self._is_reading_head:
             self._request.headers.append(
                 (name.decode('latin-1'), value.decode('latin-1'))
             )
 
     def on_headers_complete(self):
-        """Check the head, and ask for the body where the caller waits."""
+        """Check the head; send ``100 Continue`` if the caller expects it."""
         self._is_reading_head = False
         request = self._request
         request.method = self._parser.get_method().decode('ascii')
@@ -327,23 +340,23 @@
         request.has_body = is_chunked or length is not None
         limit = self.service.find_limits().body_bytes
         if length is not None and int(length) > limit:
-            raise _Refused(413)
+            raise _RefusedRequest(413)
         expects = request.find('expect')
         if expects and expects.lower() == '100-continue' and not self.pending:
             self.transport.write(_CONTINUE)
 
     def on_body(self, body):
-        """Gather a piece of the body."""
+        """Add a part of the body."""
         self._body_size += len(body)
         if self._body_size > self.service.find_limits().body_bytes:
-            raise _Refused(413)
-        if BodyMemory.used_bytes + len(body) > BODY_MEMORY_BYTES:
-            raise _Refused(503)
+            raise _RefusedRequest(413)
+        if BodyMemory.used_bytes + len(body) > BODY_MEMORY_LIMIT_BYTES:
+            raise _RefusedRequest(503)
         BodyMemory.used_bytes += len(body)
         self._chunks.append(body)
 
     def on_message_complete(self):
-        """Start to answer a whole request."""
+        """Start to answer a complete request."""
         request = self._request
         request.body = b''.join(self._chunks)
         self._chunks = []
@@ -354,43 +367,44 @@
         item.must_close = not self._parser.should_keep_alive()
         self.pending.append(item)
         item.body_bytes = len(request.body)
-        begun = self.service.begin(request)
-        if isinstance(begun, _messages.Response):
-            self._finish(item, begun)
+        result = self.service.begin(request)
+        if isinstance(result, _messages.Response):
+            self._finish(item, result)
             return
-        item.begun = begun
+        item.coroutine = result
         item.task = self.loop.create_task(self._answer(item))
 
-    # Answers.
+    # Responses.
 
     async def _answer(self, item: _Pending):
         try:
-            response = await item.begun
+            response = await item.coroutine
         except asyncio.CancelledError:
             raise
         except Exception:
-            # A defect must not leave the caller without an answer; what
-            # ran is unknown.
+            # A defect must not leave the caller without a response.  Whether
+            # the request was executed is unknown.
             LOG.exception('request failed')
             response = self.service.refuse(502)
         self._finish(item, response)
 
     def _finish(self, item: _Pending, response: _messages.Response | None):
         item.release_body()
-        if self._is_ended:
+        if self._is_closing:
             return
         if response is None:
             self.transport.abort()
             return
         must_close = item.must_close or response.must_close
         if self.service.is_closing and item is self.pending[-1]:
-            # Requests sent ahead get their answers first.
+            # Pipelined requests are answered before the connection closes.
             must_close = True
         item.must_close = must_close
         if must_close:
-            # What comes now would be passed on, and have no answer: those
-            # before this one may still be under way.
-            self._is_refused = True
+            # Earlier responses may still be pending, so the connection stays
+            # open for a while.  Requests that arrive meanwhile would be
+            # executed without getting a response.
+            self._is_discarding_input = True
             connection = 'Connection: close'
         else:
             idle_ms = self.service.find_limits().idle_timeout_ms
@@ -401,7 +415,7 @@
         self._flush()
 
     def _flush(self):
-        """Write the answers that are next in order."""
+        """Write the responses that are ready, in the order of the requests."""
         while self.pending and self.pending[0].data is not None:
             item = self.pending.popleft()
             self._write(item.data)
@@ -414,52 +428,51 @@
             self.transport.resume_reading()
 
     def _write(self, data: bytes):
-        """Write an answer, behind those that are still being written."""
+        """Write a response behind those that are still being written."""
         if len(data) >= _pacing.SMALL_BYTES:
-            # Later than that its connection is taken as gone.
-            limit_s = UNACKNOWLEDGED_LIMIT_MS / 1000
-            self._large_until_s = self.loop.time() + limit_s
+            # The connection fails if data is unacknowledged for longer.
+            limit_s = TCP_USER_TIMEOUT_MS / 1000
+            self._large_unacknowledged_until_s = self.loop.time() + limit_s
         pacer = self.service.pacer
         if pacer is None:
             self.transport.write(data)
-        elif not self._paced and len(data) < _pacing.SMALL_BYTES:
+        elif not self._paced_writes and len(data) < _pacing.SMALL_BYTES:
             self.transport.write(data)
             pacer.note_small(len(data))
         else:
             paced = _pacing.PacedWrite(
-                self.transport.write, data, self._end_paced
+                self.transport.write, data, self._remove_paced_write
             )
-            self._paced.append(paced)
+            self._paced_writes.append(paced)
             pacer.submit(paced)
 
-    def _end_paced(self):
-        """Note that the first answer of those in pieces is written."""
-        self._paced.popleft()
+    def _remove_paced_write(self):
+        """Remove the first paced response, which is completely written."""
+        self._paced_writes.popleft()
         self.last_activity_s = self.loop.time()
-        if self._is_ended and not self._paced:
+        if self._is_closing and not self._paced_writes:
             self._linger()
 
     def _close(self):
-        """Close after an answer; requests behind it were not passed on."""
+        """Close after a response and cancel the requests behind it."""
         for item in self.pending:
             item.cancel()
         self.pending.clear()
-        self._is_ended = True
-        # What comes is read and dropped.
-        self._is_refused = True
+        self._is_closing = True
+        # Further input is read and discarded.
+        self._is_discarding_input = True
         if self._is_paused:
             self._is_paused = False
             self.transport.resume_reading()
-        if not self._paced:
+        if not self._paced_writes:
             self._linger()
 
     def _linger(self):
-        """Close once the caller has closed, or some time after all is sent.
+        """Close once the caller has closed, or some time after the last write.
 
-        A request that crosses the close, or the rest of one that was
-        refused, would reset the connection if it came to a closed one: a
-        caller that reads slowly then loses the answer (12 kB of 300 kB
-        arrived).
+        A request that crosses the close, or the rest of a refused one, would
+        reset a closed connection.  A caller that reads slowly then loses the
+        response (12 kB of 300 kB arrived).
         """
         if not self._is_lingering:
             self._is_lingering = True
@@ -471,27 +484,27 @@
 
     @property
     def _has_unsent(self) -> bool:
-        """Whether the socket has not taken all answers yet."""
+        """Whether the write buffer still holds response data."""
         return self.transport.get_write_buffer_size() > 0
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is under way."""
-        is_done = not self.pending and not self._paced
+        """Whether no request or response is in progress."""
+        is_done = not self.pending and not self._paced_writes
         is_sent = not self._is_lingering and not self._has_unsent
         return is_done and is_sent and self._request is None
 
     def close_idle(self) -> bool:
-        """Close the connection if nothing is under way on it."""
+        """Close the connection if it is idle; return whether it was."""
         if not self.is_idle:
             return False
-        self._is_ended = True
+        self._is_closing = True
         self.transport.close()
         return True
 
     def _refuse(self, status: int):
-        """Answer a request that cannot be read, then close."""
-        self._is_refused = True
+        """Answer a request that cannot be read with an error, then close."""
+        self._is_discarding_input = True
         self._release_body()
         self._request = None
         item = _Pending()
@@ -500,18 +513,18 @@
         self._finish(item, self.service.refuse(status))
 
     def _release_body(self):
-        _release(sum(len(chunk) for chunk in self._chunks))
+        _release_body_memory(sum(len(chunk) for chunk in self._chunks))
         self._chunks = []
 
-    # What is told of it.
+    # Load.
 
     def add_load(self, load: _load.ServiceLoad) -> None:
-        """Add what is under way here."""
+        """Add the pending requests and responses of this connection."""
         ready = [len(item.data) for item in self.pending if item.data]
-        paced = [len(item.left) for item in self._paced]
+        paced = [len(item.left) for item in self._paced_writes]
         unwritten = self.transport.get_write_buffer_size()
         unacknowledged = 0
-        if self.loop.time() < self._large_until_s:
+        if self.loop.time() < self._large_unacknowledged_until_s:
             unacknowledged = _sockets.find_unacknowledged_bytes(self.transport)
         written = len(paced) or int(unwritten > 0)
         load.requests += len(self.pending) - len(ready)
@@ -520,65 +533,79 @@
         load.held_bytes += sum(ready) + sum(paced) + unwritten
         load.unacknowledged_bytes += unacknowledged
         if self.pending:
-            load.oldest_s = min(load.oldest_s, self.pending[0].received_s)
+            load.oldest_since_s = min(
+                load.oldest_since_s, self.pending[0].received_s
+            )
         elif written or unacknowledged:
-            load.oldest_s = min(load.oldest_s, self.last_activity_s)
+            load.oldest_since_s = min(
+                load.oldest_since_s, self.last_activity_s
+            )
 
-    # Time.
+    # Timeouts.
 
-    def check_time(self, limits: CallerLimits) -> None:
-        """Refuse or close where a limit has passed."""
-        if self._is_ended:
+    def check_timeouts(self, limits: CallerLimits) -> None:
+        """Refuse the request or close the connection after a timeout."""
+        if self._is_closing:
             return
         now_s = self.loop.time()
-        silent_ms = (now_s - self.last_activity_s) * 1000
+        inactive_ms = (now_s - self.last_activity_s) * 1000
         if self._request is None:
-            is_done = not self.pending and not self._paced
-            is_late = is_done and silent_ms > limits.idle_timeout_ms
-            if is_late:
-                self._is_ended = True
+            is_done = not self.pending and not self._paced_writes
+            is_expired = is_done and inactive_ms > limits.idle_timeout_ms
+            if is_expired:
+                self._is_closing = True
                 self.transport.close()
                 return
         elif self._is_reading_head:
             age_ms = (now_s - self._request.received_s) * 1000
             if age_ms > limits.header_timeout_ms:
                 self._refuse(408)
-        elif silent_ms > limits.body_timeout_ms:
+        elif inactive_ms > limits.body_timeout_ms:
             self._refuse(408)
 
 
-class _Refused(Exception):
-    """A request that is answered without being passed on."""
+class _RefusedRequest(Exception):
+    """The request is answered with an error status by the connection.
+
+    Parameters
+    ----------
+    status : int
+        Status code of the response.
+    """
 
     def __init__(self, status: int):
         super().__init__(status)
         self.status = status
 
 
-#: Fields of which two may be read differently by the next reader.
-_SINGLE_NAMES = frozenset(('content-length', 'transfer-encoding', 'host'))
+#: Fields that must not be repeated: two recipients may interpret the
+#: repetition differently, which allows request smuggling.
+_SINGLETON_FIELDS = frozenset(('content-length', 'transfer-encoding', 'host'))
 
 
 def _check_framing(request: _messages.Request, version: str) -> None:
-    """Refuse heads that two readers may frame differently (RFC 9112)."""
+    """Refuse heads that two recipients may frame differently (RFC 9112)."""
     fields = request.fields
     if '' in fields or '\0' in ''.join([item[1] for item in request.headers]):
-        raise _Refused(400)
+        raise _RefusedRequest(400)
     if len(fields) < len(request.headers):
         _check_repeats(request.headers)
     if version == '1.1' and 'host' not in fields:
-        raise _Refused(400)
-    coding = fields.get('transfer-encoding')
-    if coding is not None:
-        if coding.strip().lower() != 'chunked' or 'content-length' in fields:
-            raise _Refused(400)
+        raise _RefusedRequest(400)
+    transfer_coding = fields.get('transfer-encoding')
+    if transfer_coding is not None:
+        if (
+            transfer_coding.strip().lower() != 'chunked'
+            or 'content-length' in fields
+        ):
+            raise _RefusedRequest(400)
 
 
 def _check_repeats(headers: _headers.Headers) -> None:
-    """Refuse heads in which a field that must be single comes twice."""
+    """Refuse heads that repeat a field of `_SINGLETON_FIELDS`."""
     names = [name.lower() for name, _value in headers]
-    if any(names.count(name) > 1 for name in _SINGLE_NAMES):
-        raise _Refused(400)
+    if any(names.count(name) > 1 for name in _SINGLETON_FIELDS):
+        raise _RefusedRequest(400)
 
 
 async def serve(
@@ -587,7 +614,7 @@
     port: int,
     opened: socket.socket | None = None,
 ) -> asyncio.AbstractServer:
-    """Listen and answer by a service.
+    """Start a server that answers requests with a service.
 
     Parameters
     ----------
@@ -596,12 +623,12 @@
     address, port
         Where to listen.
     opened : socket or None
-        Listens there already.
+        Socket that already listens there; opened if None.
 
     Raises
     ------
     OSError
-        When the port cannot be bound.
+        If the port cannot be bound.
     """
     loop = asyncio.get_running_loop()
     return await loop.create_server(
--- a/sedgering/transport/_sockets.py
+++ b/sedgering/transport/_sockets.py
@@ -1,4 +1,4 @@
-"""Options and queues of connected sockets."""
+"""Options and send queues of connected sockets."""
 
 import asyncio
 import fcntl
@@ -7,58 +7,62 @@
 import struct
 import termios
 
-__all__ = ['find_unacknowledged_bytes', 'tune_socket']
+__all__ = ['find_unacknowledged_bytes', 'configure_socket']
 
 LOG = logging.getLogger(__name__)
 
-#: Unanswered probes after which a silent peer is taken as gone.
-PROBES = 2
+#: Unanswered TCP keep-alive probes after which the connection fails.
+KEEPALIVE_PROBES = 2
 
 
-def tune_socket(
-    sock: socket.socket, unacknowledged_limit_ms: int, probe_after_s: int
+def configure_socket(
+    sock: socket.socket, user_timeout_ms: int, keepalive_interval_s: int
 ) -> None:
-    """Send at once, and notice a peer that is gone without a word.
+    """Disable Nagle's algorithm and detect peers that vanished.
+
+    A peer vanishes without closing the connection when, for example, its
+    host crashes.
 
     Parameters
     ----------
     sock : socket
-        Connected.
-    unacknowledged_limit_ms : int
-        Longest time for which bytes sent may stay unacknowledged.
-    probe_after_s : int
-        Silence after which a peer is probed, and between probes.
+        Connected TCP socket.
+    user_timeout_ms : int
+        Longest time for which sent data may stay unacknowledged.
+    keepalive_interval_s : int
+        Idle time before the first keep-alive probe, and between probes.
     """
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, unacknowledged_limit_ms)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, probe_after_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, probe_after_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, user_timeout_ms)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, keepalive_interval_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, keepalive_interval_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 def find_unacknowledged_bytes(transport: asyncio.Transport) -> int:
-    """Return what the kernel holds and the other host has not acknowledged.
+    """Return the bytes in the kernel that the peer has not acknowledged.
 
-    It takes some hundred kB from the event loop while a link is full
-    (tcp(7), SIOCOUTQ).  What the other host has acknowledged may still wait
-    for its reader there.
+    The send queue of the kernel accepts some hundred kB from the event loop
+    while the link is full (tcp(7), SIOCOUTQ).  Acknowledged data has reached
+    the host of the peer, but its process may not have read it yet.
 
     Parameters
     ----------
     transport : Transport
-        Of a TCP connection.
+        Transport of a TCP connection.
     """
     descriptor = transport.get_extra_info('socket').fileno()
     if descriptor < 0:
-        # Closed: its queues are gone.
+        # The socket is closed and has no send queue.
         return 0
     try:
-        queued = fcntl.ioctl(descriptor, termios.TIOCOUTQ, bytes(4))
+        encoded_bytes = fcntl.ioctl(descriptor, termios.TIOCOUTQ, bytes(4))
     except OSError as error:
-        # Not every kernel tells; what this process holds is known anyway.
-        LOG.debug('queue not told: %s', error)
+        # Not every kernel supports the request.  The amount in the buffer
+        # of this process is known anyway.
+        LOG.debug('cannot read the send queue of a socket: %s', error)
         return 0
-    (queued_bytes,) = struct.unpack('i', queued)
+    (queued_bytes,) = struct.unpack('i', encoded_bytes)
     return queued_bytes
