--- a/sedgering/transport/_client.py
+++ b/sedgering/transport/_client.py
@@ -94,7 +94,9 @@
         self._on_end: ExchangeCallback | None = None
         #: Result of the exchange until the callback is called.
         self._outcome: _messages.Response | ExchangeFailed | None = None
-        self._is_own: Callable[[_messages.Response], bool] | None = None
+        self._matches_request: Callable[[_messages.Response], bool] | None = (
+            None
+        )
         self._response: _messages.Response | None = None
         self._chunks: list[bytes] = []
         self._body_size = 0
@@ -105,7 +107,7 @@
     async def exchange(
         self,
         data: bytes,
-        is_own: Callable[[_messages.Response], bool],
+        matches_request: Callable[[_messages.Response], bool],
         is_head: bool = False,
     ) -> _messages.Response:
         """Send an encoded request and wait for its complete response.
@@ -114,7 +116,7 @@
         ----------
         data : bytes
             The encoded request.
-        is_own : callable
+        matches_request : callable
             Returns whether a response belongs to this request.  Other
             responses are discarded, and the connection is not reused.
         is_head : bool
@@ -134,7 +136,10 @@
         """
         waiter = self.loop.create_future()
         self.begin_exchange(
-            data, is_own, functools.partial(_set_outcome, waiter), is_head
+            data,
+            matches_request,
+            functools.partial(_set_outcome, waiter),
+            is_head,
         )
         try:
             return await waiter
@@ -145,7 +150,7 @@
     def begin_exchange(
         self,
         data: bytes,
-        is_own: Callable[[_messages.Response], bool],
+        matches_request: Callable[[_messages.Response], bool],
         on_end: ExchangeCallback,
         is_head: bool = False,
     ) -> None:
@@ -155,7 +160,7 @@
 
         Parameters
         ----------
-        data, is_own, is_head
+        data, matches_request, is_head
             As in :meth:`exchange`.
         on_end : callable
             Called with the response or an `ExchangeFailed`.
@@ -163,7 +168,7 @@
         self._parser = self._parser or httptools.HttpResponseParser(self)
         self._on_end = on_end
         self._outcome = None
-        self._is_own = is_own
+        self._matches_request = matches_request
         self._is_head = is_head
         self._is_close_delimited = False
         self._skipped_responses = 0
@@ -344,7 +349,7 @@
         self._response = None
         response.body = b''.join(self._chunks)
         self._chunks = []
-        if not self._is_own(response):
+        if not self._matches_request(response):
             # A late response to an earlier request; the expected one may
             # follow.
             self.is_sound = False
--- a/sedgering/transport/_pacing.py
+++ b/sedgering/transport/_pacing.py
@@ -13,7 +13,7 @@
 __all__ = ['LinkPacer', 'PacedWrite', 'make_pacer']
 
 #: Smaller responses are written at once: they take 9 ms at 7.5 Mbit/s.
-SMALL_BYTES = 8 * 1024
+PACING_THRESHOLD_BYTES = 8 * 1024
 #: Size of a piece.  It limits how long a small response waits behind a large
 #: one, to 17 ms at 7.5 Mbit/s; a piece costs about 20 us of processor time.
 PIECE_BYTES = 16 * 1024
@@ -46,18 +46,18 @@
         on_end: Callable[[], None],
     ):
         self.write = write
-        self.left = memoryview(data)
+        self.remaining = memoryview(data)
         self.on_end = on_end
 
     def cancel(self) -> None:
         """Stop writing; `on_end` is not called."""
-        self.left = self.left[:0]
+        self.remaining = self.remaining[:0]
         self.on_end = _do_nothing
 
     def write_piece(self) -> int:
         """Write the next piece and return its size in bytes."""
-        piece = self.left[:PIECE_BYTES]
-        self.left = self.left[PIECE_BYTES:]
+        piece = self.remaining[:PIECE_BYTES]
+        self.remaining = self.remaining[PIECE_BYTES:]
         self.write(piece)
         return len(piece)
 
@@ -85,7 +85,7 @@
     @property
     def queued_bytes(self) -> int:
         """Bytes of responses that wait to be written."""
-        return sum(len(item.left) for item in self._writes)
+        return sum(len(item.remaining) for item in self._writes)
 
     @property
     def wait_s(self) -> float:
@@ -113,7 +113,7 @@
                 return
             item = self._writes[0]
             self._occupy_link(item.write_piece())
-            if not item.left:
+            if not item.remaining:
                 self._writes.popleft()
                 item.on_end()
 
--- a/sedgering/transport/_server.py
+++ b/sedgering/transport/_server.py
@@ -141,7 +141,7 @@
             connection.add_load(load)
         return load
 
-    def refuse(self, status: int) -> _messages.Response:
+    def make_error_response(self, status: int) -> _messages.Response:
         """Make the error response to a request that could not be read."""
         return _messages.make_json_response(status, {'error': status})
 
@@ -385,7 +385,7 @@
             # A defect must not leave the caller without a response.  Whether
             # the request was executed is unknown.
             LOG.exception('request failed')
-            response = self.service.refuse(502)
+            response = self.service.make_error_response(502)
         self._finish(item, response)
 
     def _finish(self, item: _Pending, response: _messages.Response | None):
@@ -429,14 +429,17 @@
 
     def _write(self, data: bytes):
         """Write a response behind those that are still being written."""
-        if len(data) >= _pacing.SMALL_BYTES:
+        if len(data) >= _pacing.PACING_THRESHOLD_BYTES:
             # The connection fails if data is unacknowledged for longer.
             limit_s = TCP_USER_TIMEOUT_MS / 1000
             self._large_unacknowledged_until_s = self.loop.time() + limit_s
         pacer = self.service.pacer
         if pacer is None:
             self.transport.write(data)
-        elif not self._paced_writes and len(data) < _pacing.SMALL_BYTES:
+        elif (
+            not self._paced_writes
+            and len(data) < _pacing.PACING_THRESHOLD_BYTES
+        ):
             self.transport.write(data)
             pacer.note_small(len(data))
         else:
@@ -510,7 +513,7 @@
         item = _Pending()
         item.must_close = True
         self.pending.append(item)
-        self._finish(item, self.service.refuse(status))
+        self._finish(item, self.service.make_error_response(status))
 
     def _release_body(self):
         _release_body_memory(sum(len(chunk) for chunk in self._chunks))
@@ -521,7 +524,7 @@
     def add_load(self, load: _load.ServiceLoad) -> None:
         """Add the pending requests and responses of this connection."""
         ready = [len(item.data) for item in self.pending if item.data]
-        paced = [len(item.left) for item in self._paced_writes]
+        paced = [len(item.remaining) for item in self._paced_writes]
         unwritten = self.transport.get_write_buffer_size()
         unacknowledged = 0
         if self.loop.time() < self._large_unacknowledged_until_s:
@@ -612,7 +615,7 @@
     service: Service,
     address: str,
     port: int,
-    opened: socket.socket | None = None,
+    listener: socket.socket | None = None,
 ) -> asyncio.AbstractServer:
     """Start a server that answers requests with a service.
 
@@ -622,7 +625,7 @@
         Answers the requests.
     address, port
         Where to listen.
-    opened : socket or None
+    listener : socket or None
         Socket that already listens there; opened if None.
 
     Raises
@@ -633,6 +636,6 @@
     loop = asyncio.get_running_loop()
     return await loop.create_server(
         lambda: ServerConnection(service, loop),
-        sock=opened or ports.open_port(address, port),
+        sock=listener or ports.open_port(address, port),
         backlog=ports.BACKLOG,
     )
