--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -123,7 +123,7 @@
     def __init__(self):
         self.data = json.dumps(SETTINGS).encode()
         self.applied: list[platform.HostSettings] = []
-        self.follower = platform.SettingsFollower(
+        self.follower = platform.SettingsWatcher(
             platform.decode_settings(self.data),
             self.applied.append,
             lambda: platform.decode_settings(self.data),
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -32,13 +32,13 @@
             circuit_failures=3,
         )
         calls = platform.StoreClient(
-            platform.BlockingCarrier(
+            platform.BlockingHttpClient(
                 platform.StoreSettings('127.0.0.1', port, 300)
             )
         )
         self.client = storage.GuardedStore(
             platform.RecordsTable(calls, platform.RECORDS_TABLE),
-            platform.PlatformObjects(calls),
+            platform.PlatformObjectStore(calls),
             self.settings,
             storage.Circuit(3, 500, 8000, random.Random(1)),
             lambda: self.now_ms,
--- a/sedgering/platform/__init__.py
+++ b/sedgering/platform/__init__.py
@@ -1,19 +1,21 @@
-"""The adapter to the users' platform: names decoded once, nothing decided.
+"""Adapter to the users' platform.
 
-Nothing outside this package knows a name of the platform.
+Translates the platform's files and messages to and from the types of this
+project.  It makes no decisions, and no other package uses the platform's
+names.
 """
 
 import importlib
 from typing import Any
 
+from sedgering.platform._async_http import LoopCarrier
 from sedgering.platform._document import decode_document
 from sedgering.platform._document import MESH
 from sedgering.platform._factory import make_mesh_source
-from sedgering.platform._loop_carrier import LoopCarrier
 from sedgering.platform._metrics import MetricsService
 from sedgering.platform._program import run_daemon
 from sedgering.platform._readiness import ReadinessService
-from sedgering.platform._reload import SettingsFollower
+from sedgering.platform._reload import SettingsWatcher
 from sedgering.platform._reports import ReportsService
 from sedgering.platform._settings import decode_settings
 from sedgering.platform._settings import HostSettings
@@ -27,20 +29,20 @@
 from sedgering.platform._wire import SETTINGS_VARIABLE
 
 __all__ = [
-    'BlockingCarrier',
+    'BlockingHttpClient',
     'HEADERS',
     'HostSettings',
     'LoopCarrier',
     'MESH',
     'MetricsService',
-    'PlatformObjects',
+    'PlatformObjectStore',
     'PlatformTable',
     'RECORDS_TABLE',
     'ReadinessService',
     'RecordsTable',
     'ReportsService',
     'SETTINGS_VARIABLE',
-    'SettingsFollower',
+    'SettingsWatcher',
     'StoreClient',
     'StoreSettings',
     'decode_document',
@@ -53,10 +55,11 @@
     'run_daemon',
 ]
 
-#: What tools use, and daemons do not; it needs urllib3, which takes 8 MB.
+#: Names that only tools use, with their modules.  They are imported on first
+#: use: they need urllib3, which would cost each daemon 8 MB of memory.
 _LAZY_MODULES = {
-    'BlockingCarrier': '_blocking_carrier',
-    'PlatformObjects': '_records',
+    'BlockingHttpClient': '_blocking_http',
+    'PlatformObjectStore': '_records',
     'RECORDS_TABLE': '_records',
     'RecordsTable': '_records',
     'make_records_store': '_records',
@@ -64,7 +67,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import on first use what only tools need."""
+    """Import a name that only tools need on its first use."""
     module_name = _LAZY_MODULES.get(name)
     if module_name is None:
         raise AttributeError(name)
--- a/sedgering/platform/_loop_carrier.py
+++ b/sedgering/platform/_async_http.py
@@ -1,8 +1,8 @@
-"""Calls of the store from an event loop: the daemon's way.
+"""Asynchronous HTTP client of the metadata store, for daemons.
 
-The daemon has an HTTP client for its peers already.  With it a daemon starts
-with 8.4 MB less, and 60 ms of processor time sooner, than with urllib3 and a
-thread for each watch: resident memory and processor time of the imports.
+It uses the HTTP client that the daemon has for its peers.  Compared with
+urllib3 and a thread for each watch, the imports of a daemon take 8.4 MB less
+resident memory and 60 ms less processor time.
 """
 
 import asyncio
@@ -13,40 +13,42 @@
 
 __all__ = ['LoopCarrier']
 
-#: Time beyond the wait of a watch after which its answer is taken as lost.
+#: Time after the end of a watch's wait at which its response is taken as
+#: lost.
 WATCH_MARGIN_S = 1.0
-#: Idle connections kept: two watches, and one for all other calls.
-CONNECTIONS = 3
-#: Longest time for which an idle connection is used again.  The store closes
-#: none that is in use; a call is made once in some seconds at least.
-IDLE_S = 30.0
+#: Two for watches, and one for all other requests.
+MAX_IDLE_CONNECTIONS = 3
+#: Idle time after which a connection is not used again.  The daemon sends a
+#: request every few seconds at least, and the store closes no connection in
+#: use.
+MAX_IDLE_S = 30.0
 
 
 class LoopCarrier(_carrier.StoreCarrier):
-    """Carries calls on the running event loop.
+    """HTTP client on the running event loop.
 
     Parameters
     ----------
     store_settings : StoreSettings
-        Where the store listens, and how long it may be silent.
+        Address of the store, and the longest time without a byte from it.
     """
 
     def __init__(self, store_settings: _settings.StoreSettings):
         self.store_settings = store_settings
         self._pool = _make_pool(store_settings)
 
-    def move(self, store_settings: _settings.StoreSettings) -> None:
-        """Call the store at another address from now on."""
+    def change_store(self, store_settings: _settings.StoreSettings) -> None:
+        """Send all further requests to the address in new settings."""
         self.store_settings = store_settings
         self.renew()
 
     def renew(self) -> None:
-        """Use none of the idle connections again."""
+        """Discard the idle connections; see :class:`StoreCarrier`."""
         old, self._pool = self._pool, _make_pool(self.store_settings)
         old.close()
 
     async def send(self, call: _carrier.StoreCall) -> _carrier.StoreAnswer:
-        """Send a call; see :class:`StoreCarrier`."""
+        """Send a request; see :class:`StoreCarrier`."""
         pool = self._pool
         try:
             connection = await pool.take()
@@ -62,15 +64,18 @@
     async def _exchange(
         self, connection: transport.ClientConnection, call: _carrier.StoreCall
     ) -> transport.Response:
-        """Exchange, as long as the store is not silent for too long."""
-        silence_s = self.store_settings.timeout_ms / 1000
+        """Send a request and wait for its response.
+
+        Fails when the store sends nothing for too long.
+        """
+        silence_timeout_s = self.store_settings.timeout_ms / 1000
         if call.wait_ms:
-            silence_s = call.wait_ms / 1000 + WATCH_MARGIN_S
+            silence_timeout_s = call.wait_ms / 1000 + WATCH_MARGIN_S
         exchange = asyncio.ensure_future(
             connection.exchange(self._encode(call), lambda _response: True)
         )
         try:
-            await connection.wait_unless_silent(exchange, silence_s)
+            await connection.wait_unless_silent(exchange, silence_timeout_s)
             return await exchange
         except transport.ExchangeFailed as error:
             raise _carrier.CallLost(str(error)) from error
@@ -93,6 +98,6 @@
         store_settings.address,
         store_settings.port,
         min(_carrier.CONNECT_TIMEOUT_S, store_settings.timeout_ms / 1000),
-        CONNECTIONS,
-        IDLE_S,
+        MAX_IDLE_CONNECTIONS,
+        MAX_IDLE_S,
     )
--- a/sedgering/platform/_blocking_carrier.py
+++ b/sedgering/platform/_blocking_http.py
@@ -1,4 +1,4 @@
-"""Calls of the store that block their thread: the way of tools."""
+"""Blocking HTTP client of the metadata store, for command-line tools."""
 
 from collections.abc import Coroutine
 from typing import Any
@@ -8,26 +8,27 @@
 from sedgering.platform import _carrier
 from sedgering.platform import _settings
 
-__all__ = ['BlockingCarrier', 'run_blocking']
+__all__ = ['BlockingHttpClient', 'run_blocking']
 
-#: Idle connections kept: calls that a tool makes at the same time.
-CONNECTIONS = 3
-#: Failures before anything was sent.
-_NEVER_SENT = (
+#: One for each request that a tool sends at the same time.
+MAX_IDLE_CONNECTIONS = 3
+#: Errors that occur before any part of the request is sent.
+_NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
 
 
-class BlockingCarrier(_carrier.StoreCarrier):
-    """Carries calls with urllib3; threads may share one.
+class BlockingHttpClient(_carrier.StoreCarrier):
+    """HTTP client that uses urllib3; threads may share an instance.
 
-    Its coroutine never waits for an event loop; see :func:`run_blocking`.
+    :meth:`send` blocks instead of waiting for an event loop; see
+    :func:`run_blocking`.
 
     Parameters
     ----------
     store_settings : StoreSettings
-        Where the store listens, and how long a call may take.
+        Address of the store, and the timeout of a request.
     """
 
     def __init__(self, store_settings: _settings.StoreSettings):
@@ -35,16 +36,16 @@
         self._pool = _make_pool(store_settings)
 
     def renew(self) -> None:
-        """Use none of the idle connections again."""
+        """Discard the idle connections; see :class:`StoreCarrier`."""
         old, self._pool = self._pool, _make_pool(self.store_settings)
         old.close()
 
     async def send(self, call: _carrier.StoreCall) -> _carrier.StoreAnswer:
-        """Send a call; see :class:`StoreCarrier`."""
-        usual_s = self.store_settings.timeout_ms / 1000
+        """Send a request; see :class:`StoreCarrier`."""
+        timeout_s = self.store_settings.timeout_ms / 1000
         timeout = urllib3.Timeout(
-            connect=min(_carrier.CONNECT_TIMEOUT_S, usual_s),
-            read=usual_s + call.wait_ms / 1000,
+            connect=min(_carrier.CONNECT_TIMEOUT_S, timeout_s),
+            read=timeout_s + call.wait_ms / 1000,
         )
         try:
             response = self._pool.urlopen(
@@ -54,21 +55,27 @@
                 headers=dict(call.headers),
                 timeout=timeout,
             )
-        except _NEVER_SENT as error:
+        except _NOT_SENT_ERRORS as error:
             raise _carrier.CallNotSent(_describe(error)) from error
         except urllib3.exceptions.HTTPError as error:
             raise _carrier.CallLost(_describe(error)) from error
         return _carrier.StoreAnswer(response.status, response.data)
 
 
-def run_blocking(call: Coroutine) -> Any:
-    """Run a coroutine whose calls all block; return its result."""
+def run_blocking(coroutine: Coroutine) -> Any:
+    """Run a coroutine that never suspends, and return its result.
+
+    Raises
+    ------
+    RuntimeError
+        When the coroutine suspends to wait for an event loop.
+    """
     try:
-        call.send(None)
+        coroutine.send(None)
     except StopIteration as end:
         return end.value
-    call.close()
-    raise RuntimeError('the call waits for an event loop')
+    coroutine.close()
+    raise RuntimeError('the coroutine waits for an event loop')
 
 
 def _make_pool(
@@ -77,7 +84,7 @@
     return urllib3.HTTPConnectionPool(
         store_settings.address,
         store_settings.port,
-        maxsize=CONNECTIONS,
+        maxsize=MAX_IDLE_CONNECTIONS,
         retries=False,
     )
 
--- a/sedgering/platform/_carrier.py
+++ b/sedgering/platform/_carrier.py
@@ -1,4 +1,4 @@
-"""How calls reach the platform's metadata store."""
+"""Interface of the HTTP clients of the platform's metadata store."""
 
 import abc
 
@@ -14,33 +14,38 @@
 ]
 
 
-#: Longest wait for a connection to the store: it answers in 4 ms.
+#: Longest wait for a connection to the store, which responds in 4 ms when it
+#: is not slow.
 CONNECT_TIMEOUT_S = 0.7
 
 
 class CallNotSent(Exception):
-    """Nothing reached the store."""
+    """The request did not reach the store."""
 
 
 class CallLost(Exception):
-    """The call was sent, and no whole answer came; it may have been done."""
+    """The request was sent, but no complete response arrived.
+
+    The store may have carried it out.
+    """
 
 
 class StoreCall(msgspec.Struct, frozen=True):
-    """One call.
+    """One HTTP request to the store.
 
     Parameters
     ----------
     method : str
-        Of HTTP.
+        HTTP method.
     url : str
         Path and query.
     body : bytes
-        Empty where there is none.
+        Empty when the request has no body.
     headers : tuple of (str, str)
-        Beside those of the connection.
+        Names and values, in addition to those that the client sets.
     wait_ms : int
-        For how long the store may hold the answer back; a watch.
+        Milliseconds for which the store may delay the response; more than
+        0 only for a watch.
     """
 
     method: str
@@ -51,31 +56,41 @@
 
 
 class StoreAnswer(msgspec.Struct, frozen=True):
-    """What the store answered."""
+    """HTTP response of the store.
+
+    Parameters
+    ----------
+    status : int
+        HTTP status.
+    body : bytes
+        Empty when the response has no body.
+    """
 
     status: int
     body: bytes
 
 
 class StoreCarrier(abc.ABC):
-    """Carries calls to the store over kept connections."""
+    """Sends requests to the store over persistent connections."""
 
     @abc.abstractmethod
     async def send(self, call: StoreCall) -> StoreAnswer:
-        """Send a call and return its answer.
+        """Send a request and return the response.
 
         Raises
         ------
         CallNotSent
-            When there is no connection.
+            When no connection can be established.
         CallLost
-            When the connection ends or falls silent.
+            When the connection closes or times out before the response is
+            complete.
         """
 
     @abc.abstractmethod
     def renew(self) -> None:
-        """Use none of the idle connections again.
+        """Discard the idle connections.
 
-        When one has fallen silent the others may have, too, and each
-        would cost a whole time limit.
+        After one connection has stopped responding, the others may have
+        stopped too, and a request on each of them would take a whole
+        timeout to fail.
         """
--- a/sedgering/platform/_document.py
+++ b/sedgering/platform/_document.py
@@ -1,4 +1,4 @@
-"""The operator's document, decoded into a bundle of our own."""
+"""Decodes the operator's configuration document into a bundle."""
 
 from typing import Annotated
 from typing import Any
@@ -15,17 +15,17 @@
 
 __all__ = ['DocumentDecoder', 'MESH', 'decode_document']
 
-#: Name of the mesh in bundles that come from the operator's document.
+#: Name of the mesh in bundles made from the operator's document.
 MESH = 'platform'
-#: Owner of all routes: the document names none.
-PARTY = base.PartyId('operator')
-#: Kinds of routes whose requests may run more than once; the answers of
-#: the second one are large.
+#: Owner of all routes and target sets: the document names none.
+OWNER = base.PartyId('operator')
+#: Kinds of routes whose requests may be executed more than once.  Responses
+#: on routes of the kind `download` are large.
 REPEATABLE_KINDS = frozenset(('safe', 'download'))
 
 
-#: A limit of nothing would refuse every caller.
-_Size = Annotated[int, msgspec.Meta(ge=1, le=2**53 - 1)]
+#: At least 1: a limit of 0 would refuse every caller.
+_SizeBytes = Annotated[int, msgspec.Meta(ge=1, le=2**53 - 1)]
 
 
 class _Metadata(msgspec.Struct):
@@ -40,7 +40,7 @@
 
 class _Document(msgspec.Struct):
     version: str
-    #: Each one as its bytes, decoded by :class:`DocumentDecoder`.
+    #: Encoded; :class:`DocumentDecoder` decodes each one.
     resources: list[msgspec.Raw]
 
 
@@ -53,24 +53,24 @@
     host: str
     prefix: str
     kind: str
-    #: Longest time for which the operator lets a caller wait.
+    #: Longest time that a caller waits for a response.
     timeout: str
-    #: Latency goal: time within which callers want the answer.
+    #: Time within which callers want a response.
     target_latency: str = '0ms'
     priority: int = 0
-    #: Most targets that one attempt of a caller may reach.
+    #: Most targets to which one request of a caller may be sent.
     attempts: int = 1
-    #: Either one service, or shares of several.
+    #: Target set of the route; unused when `split` names several.
     service: str = ''
     split: list[_Share] = []
-    #: Whether callers need no key.
+    #: Whether callers may omit the API key.
     public: bool = False
 
 
 class _Tenant(msgspec.Struct):
     api_keys: list[str] = []
     priority: int = 0
-    #: Requests a second; 0 for no limit.
+    #: Requests per second; 0 for no limit.
     rate_per_s: int = 0
     burst: int = 0
 
@@ -81,8 +81,8 @@
 
 
 class _Limits(msgspec.Struct):
-    max_header_bytes: _Size
-    max_body_bytes: _Size
+    max_header_bytes: _SizeBytes
+    max_body_bytes: _SizeBytes
     header_timeout: str
     idle_timeout: str
 
@@ -98,7 +98,7 @@
     health_path: str
 
 
-#: What one resource of the document says; None where it is of no use here.
+#: One decoded resource of the document; None for types that are not used.
 _Item = (
     _RouteItem
     | _ServiceItem
@@ -109,23 +109,24 @@
 
 
 class DocumentDecoder:
-    """Decodes one document after the other.
+    """Decodes successive documents.
 
-    Resources that stand in the last one byte for byte keep their objects:
-    of 1,200 routes a version mostly changes a few, and whoever checks or
-    compares bundles passes over objects that it has seen.
+    A resource whose bytes did not change since the previous document keeps
+    its decoded object.  A new version usually changes a few of 1,200 routes,
+    and the code that validates or compares bundles skips objects that it has
+    already seen.
     """
 
     def __init__(self):
         self._items: dict[bytes, _Item] = {}
 
     def decode(self, data: bytes) -> mesh.AcceptedConfig:
-        """Decode the document of the operator's row.
+        """Decode the document from the operator's row.
 
         Raises
         ------
         BundleError
-            When it is malformed; rules of bundles are checked later.
+            When it is malformed.  The rules for bundles are checked later.
         """
         try:
             document = msgspec.json.decode(data, type=_Document)
@@ -137,17 +138,17 @@
             ) from error
 
     def _decode_items(self, document: _Document) -> list[_Item]:
-        known = self._items
-        texts = list(map(bytes, document.resources))
+        previous = self._items
+        resources = list(map(bytes, document.resources))
         self._items = {
-            text: known[text] if text in known else _decode_item(text)
-            for text in texts
+            data: previous[data] if data in previous else _decode_item(data)
+            for data in resources
         }
-        return [self._items[text] for text in texts]
+        return [self._items[data] for data in resources]
 
 
 def decode_document(data: bytes) -> mesh.AcceptedConfig:
-    """Decode one document by itself; see :class:`DocumentDecoder`."""
+    """Decode a single document; see :class:`DocumentDecoder`."""
     return DocumentDecoder().decode(data)
 
 
@@ -191,7 +192,7 @@
             tuple(item.target_set for item in services),
             tuple(item.route for item in routes),
             tuple(workspaces),
-            _list_keyed(routes) if workspaces else (),
+            _list_routes_with_key(routes) if workspaces else (),
         ),
         limits=limits,
         health_paths={
@@ -200,7 +201,9 @@
     )
 
 
-def _list_keyed(routes: list[_RouteItem]) -> tuple[base.RouteName, ...]:
+def _list_routes_with_key(
+    routes: list[_RouteItem],
+) -> tuple[base.RouteName, ...]:
     return tuple(item.route.name for item in routes if not item.is_public)
 
 
@@ -208,7 +211,7 @@
     digests = map(access.compute_key_digest, spec.api_keys)
     return bundles.Workspace(
         name=base.WorkspaceName(name),
-        # A key that is listed twice is one key.
+        # Without duplicates, in the order of the document.
         key_digests=tuple(dict.fromkeys(digests)),
         priority=spec.priority,
         rate_per_s=spec.rate_per_s,
@@ -220,7 +223,7 @@
     shares = spec.split or [_Share(spec.service, 1)]
     return bundles.Route(
         name=base.RouteName(name),
-        party=PARTY,
+        party=OWNER,
         host=spec.host.lower(),
         path_prefix=spec.prefix,
         targets=tuple(
@@ -247,7 +250,7 @@
 def _make_target_set(name: str, spec: _Service) -> bundles.TargetSet:
     return bundles.TargetSet(
         name=base.TargetSetName(name),
-        party=PARTY,
+        party=OWNER,
         connections=spec.max_connections,
     )
 
@@ -264,5 +267,5 @@
 def _parse_timeout_ms(text: str) -> int:
     timeout_ms = _wire.parse_duration_ms(text)
     if not timeout_ms:
-        raise ValueError('time-out of nothing')
+        raise ValueError('the timeout must be greater than 0')
     return timeout_ms
--- a/sedgering/platform/_factory.py
+++ b/sedgering/platform/_factory.py
@@ -1,4 +1,4 @@
-"""Makes the source of versions and members of one daemon."""
+"""Constructs the configuration and membership source of a daemon."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 __all__ = ['make_mesh_source']
 
-#: The row that the operator writes.
+#: Row to which the operator writes the configuration document.
 CONFIG_TABLE = 'op'
 CONFIG_KEY = 'config'
-#: Table of our own with one row for each host.
+#: Table of this project, with one row for each host.
 MEMBERS_TABLE = 'sedgering_members'
 
 
@@ -25,20 +25,20 @@
     is_first_start: bool = False,
     has_rollouts: bool = False,
 ) -> mesh.MeshSource:
-    """Make the source of versions and members of one daemon.
+    """Make the source of configuration versions and members for a daemon.
 
     Parameters
     ----------
     client : StoreClient
-        With a carrier of the event loop.
+        With an HTTP client that uses the event loop.
     host : HostId
-        Of the daemon.
+        Host of the daemon.
     loop : AbstractEventLoop
-        In which the daemon runs.
+        Event loop in which the daemon runs.
     is_first_start : bool
-        Whether the whole fleet starts for the first time.
+        Whether all daemons of the fleet start for the first time.
     has_rollouts : bool
-        Whether the operator orders rollouts.
+        Whether the operator uses rollouts.
     """
     config_row = mesh.ConfigRow(
         _tables.PlatformTable(client, CONFIG_TABLE),
--- a/sedgering/platform/_metrics.py
+++ b/sedgering/platform/_metrics.py
@@ -1,22 +1,22 @@
-"""Serves the daemon's counters as text."""
+"""Serves the metrics of a daemon over HTTP."""
 
 from sedgering import mesh
 from sedgering import transport
 
 __all__ = ['METRICS_PORT', 'MetricsService']
 
-#: Also stands in deploy/system.toml.
+#: Also listed in deploy/system.toml.
 METRICS_PORT = 9464
 METRICS_PATH = '/metrics'
 
 
 class MetricsService(transport.Service):
-    """Answers with the text exposition.
+    """Responds with the metrics in the Prometheus text format.
 
     Parameters
     ----------
     daemon : MeshDaemon
-        Whose counters are shown.
+        Source of the metrics.
     """
 
     def __init__(self, daemon: mesh.MeshDaemon):
@@ -24,11 +24,11 @@
         self.daemon = daemon
 
     def find_limits(self) -> transport.CallerLimits:
-        """Return the usual limits."""
+        """Return the default limits."""
         return transport.CallerLimits()
 
     async def answer(self, request: transport.Request) -> transport.Response:
-        """Answer one question."""
+        """Return the metrics, or status 404 for another path."""
         if request.url.partition('?')[0] != METRICS_PATH:
             return transport.make_json_response(404, {'error': 'no such path'})
         return transport.Response(
--- a/sedgering/platform/_program.py
+++ b/sedgering/platform/_program.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from sedgering import mesh
+from sedgering.platform import _async_http
 from sedgering.platform import _document
 from sedgering.platform import _factory
-from sedgering.platform import _loop_carrier
 from sedgering.platform import _metrics
 from sedgering.platform import _readiness
 from sedgering.platform import _reload
@@ -29,15 +29,15 @@
     opened: ports.OpenPorts,
 ) -> None:
     loop = asyncio.get_running_loop()
-    share = mesh_settings.retry_share_percent / 100
+    budget_share = mesh_settings.retry_share_percent / 100
     budget = mesh.RetryWindow(
-        host_settings.retry_ratio * share,
-        host_settings.retry_extra * share,
+        host_settings.retry_ratio * budget_share,
+        host_settings.retry_extra * budget_share,
         host_settings.retry_window_s,
     )
-    carrier = _loop_carrier.LoopCarrier(host_settings.store)
+    http_client = _async_http.LoopCarrier(host_settings.store)
     source = _factory.make_mesh_source(
-        _store.StoreClient(carrier),
+        _store.StoreClient(http_client),
         host_settings.identity.host,
         loop,
         host_settings.is_first_start,
@@ -49,7 +49,7 @@
             exposed_share_percent=int(100 * host_settings.exposed_share),
         )
     own_settings = mesh_settings
-    mesh_settings = _join_revocation(own_settings, host_settings)
+    mesh_settings = _merge_revocation(own_settings, host_settings)
     if host_settings.quota_window_ms:
         mesh_settings = msgspec.structs.replace(
             mesh_settings,
@@ -70,46 +70,50 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
 
-    def apply(found: _settings.HostSettings) -> None:
-        budget.ratio = found.retry_ratio * share
-        budget.extra = found.retry_extra * share
-        daemon.state.follow_revocation(_join_revocation(own_settings, found))
-        if found.store != carrier.store_settings:
-            carrier.move(found.store)
+    def apply_settings(changed: _settings.HostSettings) -> None:
+        budget.ratio = changed.retry_ratio * budget_share
+        budget.extra = changed.retry_extra * budget_share
+        daemon.state.follow_revocation(
+            _merge_revocation(own_settings, changed)
+        )
+        if changed.store != http_client.store_settings:
+            http_client.change_store(changed.store)
 
-    follower = _reload.SettingsFollower(host_settings, apply)
-    loop.add_signal_handler(signal.SIGHUP, follower.reload)
-    own = host_settings.addresses
+    settings_watcher = _reload.SettingsWatcher(host_settings, apply_settings)
+    loop.add_signal_handler(signal.SIGHUP, settings_watcher.reload)
+    addresses = host_settings.addresses
     readiness = _readiness.ReadinessService(lambda: daemon.is_ready)
     reports = _reports.ReportsService(daemon)
     for service, port in (
-        (readiness, own.readiness_port),
-        (reports, own.reports_port),
+        (readiness, addresses.readiness_port),
+        (reports, addresses.reports_port),
         (_metrics.MetricsService(daemon), _metrics.METRICS_PORT),
     ):
-        sock = opened.take(own.address, port)
-        await transport.serve(service, own.address, port, sock)
+        sock = opened.take(addresses.address, port)
+        await transport.serve(service, addresses.address, port, sock)
     await daemon.start(opened)
     opened.close()
-    # Modules and tables made so far are left out of collections.
+    # Exclude the modules and tables created so far from garbage collection.
     gc.collect()
     gc.freeze()
-    following = loop.create_task(follower.run())
+    watch_task = loop.create_task(settings_watcher.run())
     await stopping.wait()
-    following.cancel()
-    await daemon.leave(follower.host_settings.grace_ms)
+    watch_task.cancel()
+    await daemon.leave(settings_watcher.host_settings.grace_ms)
 
 
-def _join_revocation(
-    own_settings: mesh.MeshSettings, found: _settings.HostSettings
+def _merge_revocation(
+    own_settings: mesh.MeshSettings, host_settings: _settings.HostSettings
 ) -> mesh.MeshSettings:
-    """Add what the platform states of keys that are taken away."""
-    revoke_ms = found.revoke_ms
+    """Add the platform's settings for the revocation of API keys."""
+    revoke_ms = host_settings.revoke_ms
     if revoke_ms is None:
         revoke_ms = own_settings.revoke_ms
     return msgspec.structs.replace(
         own_settings,
-        revoke_strict=own_settings.revoke_strict or found.revoke_strict,
+        revoke_strict=(
+            own_settings.revoke_strict or host_settings.revoke_strict
+        ),
         revoke_ms=revoke_ms,
     )
 
@@ -119,16 +123,16 @@
     mesh_settings: mesh.MeshSettings,
     opened: ports.OpenPorts,
 ) -> None:
-    """Run until SIGTERM or SIGINT, then leave gracefully.
+    """Run until SIGTERM or SIGINT, then shut down gracefully.
 
     Parameters
     ----------
     host_settings : HostSettings
-        From the platform's settings file.
+        Settings from the platform's file.
     mesh_settings : MeshSettings
-        Our own.
+        Settings of this project.
     opened : OpenPorts
-        Ports that listen already.
+        Ports that are already listening.
     """
     with asyncio.Runner(loop_factory=transport.BootTimeLoop) as runner:
         runner.run(_serve(host_settings, mesh_settings, opened))
--- a/sedgering/platform/_readiness.py
+++ b/sedgering/platform/_readiness.py
@@ -1,4 +1,4 @@
-"""Answers the platform's question whether this daemon takes work."""
+"""Serves the readiness check that the platform sends to a daemon."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,12 @@
 
 
 class ReadinessService(transport.Service):
-    """Answers 200 while callers may send new work.
+    """Responds with status 200 while callers may send requests, else 503.
 
     Parameters
     ----------
     is_ready : callable
-        Asked each time.
+        Called for each check.
     """
 
     def __init__(self, is_ready: Callable[[], bool]):
@@ -23,11 +23,11 @@
         self.is_ready = is_ready
 
     def find_limits(self) -> transport.CallerLimits:
-        """Return the usual limits."""
+        """Return the default limits."""
         return transport.CallerLimits()
 
     async def answer(self, request: transport.Request) -> transport.Response:
-        """Answer one question."""
+        """Return the readiness, or status 404 for another path."""
         if request.url.partition('?')[0] != READY_PATH:
             return transport.make_json_response(404, {'error': 'no such path'})
         is_ready = self.is_ready()
--- a/sedgering/platform/_records.py
+++ b/sedgering/platform/_records.py
@@ -1,11 +1,11 @@
-"""The store of sign-offs, rolls, claims and content, for tools."""
+"""Blocking access to sign-offs, rolls, claims and content, for tools."""
 
 from collections.abc import Sequence
 import random
 
 from sedgering import base
 from sedgering import exceptions
-from sedgering.platform import _blocking_carrier
+from sedgering.platform import _blocking_http
 from sedgering.platform import _settings
 from sedgering.platform import _store
 from sedgering.platform import _tables
@@ -13,27 +13,27 @@
 from sedgering import storage
 
 __all__ = [
-    'PlatformObjects',
+    'PlatformObjectStore',
     'RECORDS_TABLE',
     'RecordsTable',
     'make_records_store',
 ]
 
-#: Table of the sign-offs, rolls and claims of the product's own tools.
+#: Table of the sign-offs, rolls and claims that this project's tools write.
 RECORDS_TABLE = 'sedgering'
 
-_run = _blocking_carrier.run_blocking
+_run = _blocking_http.run_blocking
 
 
 class RecordsTable(storage.TableStore):
-    """One table of the store, asked by calls that block.
+    """One table of the store, with blocking calls.
 
     Parameters
     ----------
     client : StoreClient
-        With a carrier that blocks.
+        With a blocking HTTP client.
     name : str
-        Of the table.
+        Name of the table.
     """
 
     def __init__(self, client: _store.StoreClient, name: str):
@@ -41,31 +41,31 @@
         self.table = _tables.PlatformTable(client, name)
 
     def read(self, keys: Sequence[str]) -> tuple[storage.Row, ...]:
-        """Read rows as of one moment; see :class:`TableStore`."""
+        """Read a consistent snapshot of rows; see :class:`TableStore`."""
         return _check_readable(_run(self.table.read(keys)))
 
     def scan(
         self, prefix: str, after: str = '', limit: int = 1000
     ) -> tuple[storage.Row, ...]:
-        """Read rows by prefix; see :class:`TableStore`."""
+        """Read rows by key prefix; see :class:`TableStore`."""
         start = max(prefix, after + '\0' if after else '')
-        end = _end_of(prefix)
+        end = _find_prefix_end(prefix)
         name = self.table.name
         page = _run(self.client.list_rows(name, start, end, limit))
         return _check_readable(page.rows)
 
     def transact(self, transaction: storage.Transaction) -> storage.Outcome:
-        """Try a transaction once; see :class:`TableStore`."""
+        """Send a transaction once; see :class:`TableStore`."""
         return _run(self.table.transact(transaction))
 
 
-class PlatformObjects(storage.ObjectStore):
-    """Objects of the store, named by their digest.
+class PlatformObjectStore(storage.ObjectStore):
+    """Objects of the store, addressed by their digest.
 
     Parameters
     ----------
     client : StoreClient
-        With a carrier that blocks.
+        With a blocking HTTP client.
     """
 
     def __init__(self, client: _store.StoreClient):
@@ -77,8 +77,9 @@
             _run(self.client.put_object(digest.hex(), body))
         except exceptions.PlatformError as error:
             if error.code is not exceptions.Code.PLATFORM_CONFLICT:
-                return _tables.tell_failure(error)
-            # It is there already, and its name fixes its content.
+                return _tables.make_failed_outcome(error)
+            # An object of this name exists.  Its name is the digest of its
+            # content, so that the content is the same.
         return storage.Outcome(storage.OutcomeKind.DONE)
 
     def get_object(self, digest: base.Digest) -> bytes:
@@ -89,26 +90,26 @@
 def make_records_store(
     platform_settings: settings.PlatformSettings, rng: random.Random
 ) -> storage.GuardedStore:
-    """Make the store of sign-offs, rolls, claims and content.
+    """Make the store of sign-offs, rolls, claims and content for a tool.
 
     Parameters
     ----------
     platform_settings : PlatformSettings
-        Validated settings.
+        Validated settings of the store.
     rng : random.Random
-        Jitter of the circuit.
+        Source of the jitter of the circuit breaker.
     """
-    carrier = _blocking_carrier.BlockingCarrier(
+    http_client = _blocking_http.BlockingHttpClient(
         _settings.StoreSettings(
             str(platform_settings.address),
             platform_settings.port,
             platform_settings.timeout_ms,
         )
     )
-    client = _store.StoreClient(carrier)
+    client = _store.StoreClient(http_client)
     return storage.make_guarded_store(
         RecordsTable(client, RECORDS_TABLE),
-        PlatformObjects(client),
+        PlatformObjectStore(client),
         platform_settings,
         rng,
     )
@@ -117,15 +118,23 @@
 def _check_readable(
     rows: tuple[storage.Row, ...],
 ) -> tuple[storage.Row, ...]:
-    """Return records; none of them may be left out unseen."""
+    """Return rows, all of which must have a readable value.
+
+    Raises
+    ------
+    PlatformError
+        When a value is not readable.  Leaving out its row would hide a
+        record.
+    """
     for row in rows:
         if not row.is_readable:
             raise exceptions.PlatformError(
-                exceptions.Code.PLATFORM_REFUSED, f'{row.key}: no base64'
+                exceptions.Code.PLATFORM_REFUSED,
+                f'{row.key}: the value is not base64',
             )
     return rows
 
 
-def _end_of(prefix: str) -> str:
-    """Return the first key after all that start with a prefix."""
+def _find_prefix_end(prefix: str) -> str:
+    """Return the first key after all keys that start with a prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1) if prefix else ''
--- a/sedgering/platform/_reload.py
+++ b/sedgering/platform/_reload.py
@@ -1,4 +1,4 @@
-"""Follows the settings file: on SIGHUP, and when it changes without one."""
+"""Reloads the settings file on SIGHUP, and whenever it changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,26 +9,26 @@
 from sedgering import exceptions
 from sedgering.platform import _settings
 
-__all__ = ['SettingsFollower']
+__all__ = ['SettingsWatcher']
 
 LOG = logging.getLogger(__name__)
 
-#: Between two looks at the file; a change without a signal takes effect
-#: well within the two seconds of a change of configuration.
-LOOK_INTERVAL_S = 0.5
+#: Time between two reads of the file.  A change without a signal must take
+#: effect well within the 2 s allowed for a change of configuration.
+POLL_INTERVAL_S = 0.5
 
 
-class SettingsFollower:
-    """Holds the settings in force, and applies changes.
+class SettingsWatcher:
+    """Holds the current settings, and applies changes of the file.
 
     Parameters
     ----------
     host_settings : HostSettings
-        As read at the start.
+        Settings read at the start.
     apply : callable
-        Called with new settings that differ.
+        Called with the new settings when they differ.
     read : callable
-        Reads the file.
+        Reads and decodes the file.
     """
 
     def __init__(
@@ -40,35 +40,45 @@
         self.host_settings = host_settings
         self.apply = apply
         self.read = read
-        self._refused = ''
+        self._last_error = ''
 
     async def run(self) -> None:
-        """Look at the file again and again."""
+        """Poll the file until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self.reload(False)
 
     def reload(self, is_signalled: bool = True) -> None:
-        """Read the file, and apply it where it differs."""
+        """Read the file, and apply its settings when they differ.
+
+        A file that cannot be read or decoded changes nothing.
+
+        Parameters
+        ----------
+        is_signalled : bool
+            Whether to log the reload even when nothing changed.
+        """
         try:
-            found = self.read()
+            new_settings = self.read()
         except exceptions.SettingsError as error:
-            # Half-written, say; the settings in force stay.
-            if str(error) != self._refused:
-                self._refused = str(error)
+            # For example, the file is only partly written.  The current
+            # settings remain in force.
+            if str(error) != self._last_error:
+                self._last_error = str(error)
                 LOG.warning('settings refused', extra={'detail': str(error)})
             return
-        self._refused = ''
+        self._last_error = ''
         changed = []
-        if found is not self.host_settings:
+        if new_settings is not self.host_settings:
             changed = [
                 field
-                for field in msgspec.structs.asdict(found)
-                if getattr(found, field) != getattr(self.host_settings, field)
+                for field in msgspec.structs.asdict(new_settings)
+                if getattr(new_settings, field)
+                != getattr(self.host_settings, field)
             ]
         if changed:
-            self.host_settings = found
-            self.apply(found)
+            self.host_settings = new_settings
+            self.apply(new_settings)
         if changed or is_signalled:
             names = ', '.join(changed) or 'nothing changed'
             LOG.info('settings reloaded', extra={'detail': names})
--- a/sedgering/platform/_reports.py
+++ b/sedgering/platform/_reports.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the local target, decoded into reports."""
+"""Serves the heartbeats and deregistrations of the local target."""
 
 import logging
 import re
@@ -19,75 +19,76 @@
 LOG = logging.getLogger(__name__)
 
 _PATH = re.compile(r'/v1/instances/([^/?]+)/(heartbeat|deregister)')
-#: Ids of targets: what stands in a path as it is.
-_TARGET = re.compile(r'[A-Za-z0-9._~-]{1,200}')
-#: States that a target may tell; it is gone once it has said goodbye.
-_STATES = {
+#: Ids of targets: only characters that a path contains unescaped.
+_TARGET_ID = re.compile(r'[A-Za-z0-9._~-]{1,200}')
+#: States in a heartbeat.  A target that is gone has sent a deregistration.
+_TARGET_STATES = {
     'ready': mesh.TargetState.READY,
     'draining': mesh.TargetState.DRAINING,
 }
-#: Longest time for which a target may say that it is still cold; starts take
-#: seconds.
-MOST_COLD_MS = 3_600_000
-#: Most of the particulars that an answer repeats.
-DETAIL_CHARACTERS = 200
+#: Longest remaining warm-up that a target may report; starts take seconds.
+MAX_COLD_MS = 3_600_000
+#: Length at which the detail of an error response is cut.
+MAX_DETAIL_CHARACTERS = 200
 
-_BornMs = Annotated[int, msgspec.Meta(ge=1, le=2**53 - 1)]
+_StartTimeMs = Annotated[int, msgspec.Meta(ge=1, le=2**53 - 1)]
 _Version = Annotated[str, msgspec.Meta(max_length=200)]
 _Slots = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 
 
-class _Told(msgspec.Struct, kw_only=True):
-    #: Unix time of the start of the lifetime, in milliseconds.
-    born: _BornMs | msgspec.UnsetType = msgspec.UNSET
-    #: The id in the path counts; another one here is a contradiction.
+class _TargetMessage(msgspec.Struct, kw_only=True):
+    """Fields that all messages of a target have."""
+
+    #: Unix time of the start of the target, in milliseconds.
+    born: _StartTimeMs | msgspec.UnsetType = msgspec.UNSET
+    #: Must equal the id in the path when it is present.
     id: str | msgspec.UnsetType = msgspec.UNSET
 
     def make_lifetime(self, target: base.TargetName) -> mesh.Lifetime:
-        """Return the lifetime that is told of.
+        """Return the lifetime that the message is about.
 
         Raises
         ------
         ReportError
-            When it is told of another target.
+            When the message is about another target.
         """
         if self.id is not msgspec.UNSET and self.id != target:
-            detail = f'{target} in the path, {self.id!r} in the body'
+            detail = f'id is {target} in the path, {self.id!r} in the body'
             raise exceptions.ReportError(exceptions.Code.REPORT_TARGET, detail)
         if self.born is msgspec.UNSET:
             return mesh.Lifetime(target)
         return mesh.Lifetime(target, self.born)
 
 
-ToldT = TypeVar('ToldT', bound=_Told)
+MessageT = TypeVar('MessageT', bound=_TargetMessage)
 
 
-class _Heartbeat(_Told, kw_only=True):
-    #: Target set.
+class _Heartbeat(_TargetMessage, kw_only=True):
+    #: Target set of the target.
     service: str
-    #: Where the target listens, for others than the daemon beside it.
+    #: Address of the target for clients other than the daemon of its host.
     address: str
     zone: str
-    #: Of its software.
+    #: Version of the software of the target.
     version: _Version
     slots: _Slots
     state: str
-    #: For how much longer the target is slow after its start.
+    #: Remaining duration of the warm-up, in which the target is slow.
     cold_remaining: str
     sequence: base.Count
 
 
-class _Goodbye(_Told, kw_only=True):
+class _Deregistration(_TargetMessage, kw_only=True):
     pass
 
 
 class ReportsService(transport.Service):
-    """Takes heartbeats and goodbyes of the local target.
+    """Accepts heartbeats and deregistrations of the local target.
 
     Parameters
     ----------
     daemon : MeshDaemon
-        Told of them.
+        Daemon that processes them.
     """
 
     def __init__(self, daemon: mesh.MeshDaemon):
@@ -96,29 +97,32 @@
         self._refusals = observability.RefusalLog(LOG, logging.WARNING)
 
     def find_limits(self) -> transport.CallerLimits:
-        """Return the usual limits."""
+        """Return the default limits."""
         return transport.CallerLimits()
 
     async def answer(self, request: transport.Request) -> transport.Response:
-        """Acknowledge a report once this daemon holds to it."""
+        """Process a message, and acknowledge it once it is in effect."""
         match = _PATH.fullmatch(request.url)
         if match is None or request.method != 'POST':
             return transport.make_json_response(404, {'error': 'no such path'})
-        name, verb = match.groups()
+        name, action = match.groups()
         try:
             target = _check_target(name)
-            if verb == 'deregister':
-                self._take_goodbye(target, request.body)
+            if action == 'deregister':
+                self._handle_deregistration(target, request.body)
             else:
                 self.daemon.take_report(_decode_report(target, request.body))
         except exceptions.ReportError as error:
             return self._refuse(name, error)
         return transport.make_json_response(200, {})
 
-    def _take_goodbye(self, target: base.TargetName, body: bytes) -> None:
-        lifetime = _decode_goodbye(target, body)
+    def _handle_deregistration(
+        self, target: base.TargetName, body: bytes
+    ) -> None:
+        lifetime = _decode_deregistration(target, body)
         if body:
-            # Targets that do not tell their start say goodbye without a body.
+            # A target that never states its start time deregisters without
+            # a body, and is not checked for one.
             self.daemon.check_lifetime(lifetime)
         self.daemon.take_leave(lifetime)
 
@@ -133,21 +137,23 @@
             {
                 'code': int(error.code),
                 'error': error.code.text,
-                'detail': error.detail[:DETAIL_CHARACTERS],
+                'detail': error.detail[:MAX_DETAIL_CHARACTERS],
             },
         )
 
 
 def _check_target(name: str) -> base.TargetName:
-    if not _TARGET.fullmatch(name):
-        raise _make_error(f'id {name!r}')
+    if not _TARGET_ID.fullmatch(name):
+        raise _make_error(f'invalid target id {name!r}')
     return base.TargetName(name)
 
 
-def _decode_goodbye(target: base.TargetName, body: bytes) -> mesh.Lifetime:
+def _decode_deregistration(
+    target: base.TargetName, body: bytes
+) -> mesh.Lifetime:
     if not body:
         return mesh.Lifetime(target)
-    return _decode(body, _Goodbye).make_lifetime(target)
+    return _decode(body, _Deregistration).make_lifetime(target)
 
 
 def _decode_report(target: base.TargetName, body: bytes) -> mesh.TargetReport:
@@ -165,17 +171,17 @@
     )
 
 
-def _decode(body: bytes, told: type[ToldT]) -> ToldT:
+def _decode(body: bytes, message_type: type[MessageT]) -> MessageT:
     try:
-        return msgspec.json.decode(body, type=told)
+        return msgspec.json.decode(body, type=message_type)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise _make_error(str(error)) from error
 
 
 def _decode_state(text: str) -> mesh.TargetState:
-    state = _STATES.get(text)
+    state = _TARGET_STATES.get(text)
     if state is None:
-        raise _make_error(f'state {text!r}')
+        raise _make_error(f'unknown state {text!r}')
     return state
 
 
@@ -184,8 +190,8 @@
         cold_ms = _wire.parse_duration_ms(text)
     except ValueError as error:
         raise _make_error(str(error)) from error
-    if cold_ms > MOST_COLD_MS:
-        raise _make_error(f'cold for {text}')
+    if cold_ms > MAX_COLD_MS:
+        raise _make_error(f'cold_remaining is too long: {text}')
     return cold_ms
 
 
--- a/sedgering/platform/_rollouts.py
+++ b/sedgering/platform/_rollouts.py
@@ -1,4 +1,4 @@
-"""Orders of rollouts, and what the operator is told of them."""
+"""Decodes rollout orders, and stores rollouts and their status."""
 
 from typing import Annotated
 
@@ -15,16 +15,18 @@
 
 __all__ = ['PlatformRollouts', 'decode_order']
 
-#: Keys of orders beside the operator's document, and of what it is told.
+#: Prefix of the keys of orders, which are in the table of the operator's
+#: document, and of the keys of status rows.
 ORDER_PREFIX = 'rollout/'
 STATUS_TABLE = 'status'
-#: Table of our own with one row for each set that was ever ordered to move.
+#: Table of this project, with one row for each target set for which a rollout
+#: was ever ordered.
 ROLLOUTS_TABLE = 'sedgering_rollouts'
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
-#: What the operator reads of each stage.
-_STATES = {
+#: State that the operator reads for each stage.
+_STATUS_BY_STAGE = {
     rollout.Stage.TRIAL: 'running',
     rollout.Stage.MOVING: 'running',
     rollout.Stage.SETTLING: 'running',
@@ -35,7 +37,7 @@
 
 class _Order(msgspec.Struct):
     service: _Text
-    #: A version of its software.
+    #: Version of the software of the service.
     to: _Text
     duration: str
 
@@ -47,12 +49,14 @@
 
 
 def decode_order(row: storage.Row) -> rollout.Order | None:
-    """Decode an order; one that was withdrawn has no version.
+    """Decode an order; one that was withdrawn has an empty version.
+
+    Returns None for a row that is not an order.
 
     Raises
     ------
     RolloutError
-        When it cannot be decoded; nothing changes then.
+        When the order cannot be decoded; it must then be ignored.
     """
     if not row.key.startswith(ORDER_PREFIX):
         return None
@@ -67,7 +71,9 @@
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise _make_error(str(error)) from error
     if order.service != target_set:
-        raise _make_error(f'{row.key} names {order.service!r}')
+        raise _make_error(
+            f'{row.key} is an order for service {order.service!r}'
+        )
     return rollout.Order(
         target_set,
         base.SoftwareVersion(order.to),
@@ -77,12 +83,12 @@
 
 
 class PlatformRollouts(mesh.RolloutStore):
-    """Rows of rollouts in a table of our own, and the operator's beside them.
+    """Stores the state of rollouts, and their status for the operator.
 
     Parameters
     ----------
     client : StoreClient
-        With a carrier of the event loop.
+        With an HTTP client that uses an event loop.
     """
 
     def __init__(self, client: _store.StoreClient):
@@ -92,19 +98,21 @@
     async def write(
         self, row: rollout.Rollout, revision: int
     ) -> storage.Outcome:
-        """Write a row, and tell the operator; see :class:`RolloutStore`."""
+        """Write a row and its status; see :class:`RolloutStore`."""
         key = row.target_set
-        status = _Status(key, row.new, _STATES[row.stage])
+        status = _Status(key, row.new, _STATUS_BY_STAGE[row.stage])
         condition = storage.Condition(key, revision)
-        told = storage.Put(f'{ORDER_PREFIX}{key}', msgspec.json.encode(status))
+        status_put = storage.Put(
+            f'{ORDER_PREFIX}{key}', msgspec.json.encode(status)
+        )
         put = storage.Put(key, msgspec.json.encode(row))
         try:
             written = await self.client.transact_across(
                 [(ROLLOUTS_TABLE, condition)],
-                [(ROLLOUTS_TABLE, put), (STATUS_TABLE, told)],
+                [(ROLLOUTS_TABLE, put), (STATUS_TABLE, status_put)],
             )
         except exceptions.PlatformError as error:
-            return _tables.tell_failure(error)
+            return _tables.make_failed_outcome(error)
         return storage.Outcome(storage.OutcomeKind.DONE, revision=written)
 
 
--- a/sedgering/platform/_settings.py
+++ b/sedgering/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform, decoded into typed fields."""
+"""Decodes the platform's settings file of a host."""
 
 import functools
 import os
@@ -21,15 +21,17 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """The platform's metadata store.
+    """Address of the platform's metadata store, and its timeout.
 
     Parameters
     ----------
-    address, port
-        Where it listens.
+    address : str
+        Address at which the store listens.
+    port : int
+        Port at which the store listens.
     timeout_ms : int
-        Longest wait for an answer.  The store answers in 4 ms; when it is
-        slow it takes up to 90 times as long.
+        Longest wait for a response.  The store responds in 4 ms, and takes
+        up to 90 times as long when it is slow.
     """
 
     address: str
@@ -38,35 +40,38 @@
 
 
 class HostSettings(msgspec.Struct, frozen=True):
-    """What the platform tells a process of its host.
+    """Settings of one host, as stated by the platform.
 
     Parameters
     ----------
     identity : MeshIdentity
-        Who this daemon is.
+        Identity of the daemon.
     addresses : Addresses
-        Where it and its target listen.
+        Addresses at which the daemon and its target listen.
     store : StoreSettings
-        Where the metadata store listens.
+        Address of the metadata store.
     grace_ms : int
-        Time from the request to end until the process is killed.
+        Time from the signal to terminate until the process is killed.
     retry_ratio, retry_extra, retry_window_s : float
-        Retry budget of the whole fleet.
+        Retry budget of the whole fleet: retries for each request, further
+        retries, and the sliding window in which both are counted.
     is_first_start : bool
-        Whether the whole fleet starts for the first time.
+        Whether all daemons of the fleet start for the first time.
     exposed_share : float or None
-        Share of the calls to a set that a version on trial may get at most;
-        None where the operator orders no rollouts.
+        Largest share of the calls to a target set that a version on trial
+        may receive; None when the operator does not use rollouts.
     revoke_strict : bool
-        Whether a daemon that may be behind on keys stops to serve known ones.
+        Whether a daemon also refuses known API keys when its list of keys
+        may be out of date.
     revoke_ms : int or None
-        Time within which a key that is taken away must be refused; None where
-        the operator states none.
+        Time within which a revoked API key must be refused; None when the
+        operator states none.
     quota_window_ms : int
-        Window in which requests of a workspace are counted; 0 where they
-        are not.
+        Window in which the requests of a workspace are counted against its
+        quota; 0 when quotas are not counted.
     quota_excess_percent, quota_slack : int
-        By how much, and by how many requests, a quota may be passed in it.
+        Percentage, and additional number of requests, by which a quota may
+        be exceeded in a window.
     """
 
     identity: mesh.MeshIdentity
@@ -86,7 +91,7 @@
 
 
 class _Listen(msgspec.Struct):
-    #: For callers of this host and its target.
+    #: For requests of the callers and the target of this host.
     outbound: str
     ready: str
     #: For the heartbeats of the local target.
@@ -101,8 +106,8 @@
     link_mbps: float = 0.0
 
 
-class _File(msgspec.Struct):
-    """The file as it is written; fields that are not used are left out."""
+class _SettingsFile(msgspec.Struct):
+    """The encoded settings file, without the fields that are not used."""
 
     node: str
     ip: str
@@ -116,17 +121,17 @@
     service: str
     platform: _Platform
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    #: Whether the whole fleet starts for the first time.
+    #: Whether all daemons of the fleet start for the first time.
     bootstrap: bool = False
 
 
 def read_settings() -> HostSettings:
-    """Read the settings file that the environment names.
+    """Read the settings file named by the environment variable.
 
     Raises
     ------
     SettingsError
-        When it cannot be read or decoded.
+        When the file cannot be read or decoded.
     """
     name = os.environ.get(_wire.SETTINGS_VARIABLE, '')
     try:
@@ -140,29 +145,29 @@
 
 @functools.lru_cache(maxsize=1)
 def decode_settings(data: bytes) -> HostSettings:
-    """Decode a settings file; the last one is remembered as decoded.
+    """Decode a settings file; the last result is cached.
 
     Raises
     ------
     SettingsError
-        When it is malformed.
+        When the file is malformed.
     """
     try:
-        return _convert(msgspec.json.decode(data, type=_File))
+        return _convert(msgspec.json.decode(data, type=_SettingsFile))
     except (msgspec.MsgspecError, ValueError, KeyError) as error:
         raise exceptions.SettingsError(
             exceptions.Code.SETTINGS_INVALID, str(error)
         ) from error
 
 
-def _convert(file: _File) -> HostSettings:
+def _convert(file: _SettingsFile) -> HostSettings:
     bounds = dict(item.split('=', 1) for item in file.bounds)
     exposed_share = bounds.get('expose_share')
     revoke = bounds.get('revoke')
     quota_window = bounds.get('quota_window')
     quota_excess = float(bounds.get('quota_excess', 0))
-    target_address, target_port = _split(file.app)
-    store_address, store_port = _split(file.platform.address)
+    target_address, target_port = _split_address(file.app)
+    store_address, store_port = _split_address(file.platform.address)
     return HostSettings(
         identity=mesh.MeshIdentity(
             base.HostId(file.node),
@@ -172,9 +177,9 @@
         ),
         addresses=mesh.Addresses(
             address=file.ip,
-            callers_port=_split(file.listen.outbound)[1],
-            readiness_port=_split(file.listen.ready)[1],
-            reports_port=_split(file.listen.control)[1],
+            callers_port=_split_address(file.listen.outbound)[1],
+            readiness_port=_split_address(file.listen.ready)[1],
+            reports_port=_split_address(file.listen.control)[1],
             peers_port=file.internal_ports[0],
             target_address=target_address,
             target_port=target_port,
@@ -196,6 +201,6 @@
     )
 
 
-def _split(address: str) -> tuple[Any, int]:
+def _split_address(address: str) -> tuple[Any, int]:
     host, _colon, port = address.rpartition(':')
     return host, int(port)
--- a/sedgering/platform/_store.py
+++ b/sedgering/platform/_store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store: its calls, and how they fail."""
+"""Client of the platform's metadata store."""
 
 import base64
 from collections.abc import Sequence
@@ -14,36 +14,36 @@
 
 __all__ = ['StoreClient', 'decode_rows']
 
-#: Most entries of one transaction, as the store's page says.
+#: Most conditions and writes of one transaction, as the store documents.
 ENTRIES_LIMIT = 100
-#: Most rows of one answer.
+#: Most rows of one response.
 PAGE_ROWS = 500
-#: A revision that no row ever has; the largest whole number that every
-#: JSON reader keeps exactly.
-NO_REVISION = 2**53 - 1
+#: Revision that no row ever has: the largest integer that every JSON parser
+#: represents exactly.
+IMPOSSIBLE_REVISION = 2**53 - 1
 
 STATUS_OK = 200
-STATUS_MISSING = 404
-STATUS_CONFLICT = 412
+STATUS_NOT_FOUND = 404
+STATUS_PRECONDITION_FAILED = 412
 STATUS_SERVER_ERROR = 500
-_CODES = {
-    STATUS_MISSING: exceptions.Code.PLATFORM_NO_OBJECT,
+_ERROR_CODES = {
+    STATUS_NOT_FOUND: exceptions.Code.PLATFORM_NO_OBJECT,
     410: exceptions.Code.PLATFORM_HISTORY,
-    STATUS_CONFLICT: exceptions.Code.PLATFORM_CONFLICT,
+    STATUS_PRECONDITION_FAILED: exceptions.Code.PLATFORM_CONFLICT,
     429: exceptions.Code.PLATFORM_BUSY,
-    # The store says that it has done nothing.
+    # The store has changed nothing.
     503: exceptions.Code.PLATFORM_DOWN,
-    # All of the room for objects is used.
+    # The storage for objects is full.
     507: exceptions.Code.PLATFORM_REFUSED,
 }
-_JSON = (('Content-Type', 'application/json'),)
+_JSON_HEADERS = (('Content-Type', 'application/json'),)
 
 
 class _WireRow(msgspec.Struct):
     key: str
-    #: Base64, unless another writer put something else there.
+    #: Base64, unless another writer stored an invalid value.
     value: Any = ''
-    #: The store's counter, not a version of a schema.
+    #: Revision counter of the store, not the version of a schema.
     schema_version: int = 0
     deleted: bool = False
 
@@ -52,7 +52,7 @@
     rows: list[_WireRow] = []
     schema_version: int = 0
     has_more: bool = False
-    #: The store's steady clock, as a duration.
+    #: Monotonic clock of the store, as a duration.
     now: str = ''
 
 
@@ -60,12 +60,12 @@
 
 
 class StoreClient:
-    """Calls to the store; every failure is a typed error.
+    """Client of the store; every failure raises `PlatformError`.
 
     Parameters
     ----------
     carrier : StoreCarrier
-        Carries the calls: on an event loop in daemons, blocking in tools.
+        HTTP client: asynchronous in daemons, blocking in tools.
     """
 
     def __init__(self, carrier: _carrier.StoreCarrier):
@@ -74,21 +74,22 @@
     async def list_rows(
         self, table: str, start: str = '', end: str = '', limit: int = 0
     ) -> storage.RowsPage:
-        """Read the rows of a range of keys.
+        """Read the rows in a range of keys.
 
         Parameters
         ----------
         table : str
             Name of the table.
         start, end : str
-            First key, and the first one left out; empty for no bound.
+            First key, and the first key after the range; empty for no
+            bound.
         limit : int
-            Most rows; 0 for all.
+            Most rows returned; 0 for all.
 
         Raises
         ------
         PlatformError
-            When there is no answer.
+            When the request fails.
         """
         rows: list[storage.Row] = []
         while True:
@@ -109,39 +110,53 @@
     async def read_rows(
         self, table: str, keys: Sequence[str]
     ) -> tuple[storage.Row, ...]:
-        """Read rows by key as of one moment.
+        """Read a consistent snapshot of rows by their keys.
 
-        The store reads one range of keys at a time.  A transaction whose
-        conditions cannot hold changes nothing, and is refused with the
-        present rows of all its conditions.
+        A read request covers only one range of keys.  Several keys are
+        therefore read with a transaction whose conditions cannot hold: the
+        store changes nothing, and responds with the current rows of all
+        conditions.
 
         Raises
         ------
         PlatformError
-            When there is no answer.
+            When the request fails.
         """
         if len(keys) == 1:
             page = await self.list_rows(table, keys[0], keys[0] + '\0')
             found = {row.key: row for row in page.rows}
         else:
-            conditions = [storage.Condition(key, NO_REVISION) for key in keys]
+            conditions = [
+                storage.Condition(key, IMPOSSIBLE_REVISION) for key in keys
+            ]
             body = _make_transaction(table, conditions)
-            answer = await self._send('POST', '/v1/rows-tx', body, _JSON)
-            _check_status(answer, STATUS_CONFLICT)
-            rows = decode_rows(answer.body)
+            response = await self._send(
+                'POST', '/v1/rows-tx', body, _JSON_HEADERS
+            )
+            _check_status(response, STATUS_PRECONDITION_FAILED)
+            rows = decode_rows(response.body)
             found = {row.key: row for row in rows if row.revision}
         return tuple(found.get(key) or storage.Row(key) for key in keys)
 
     async def watch(
         self, table: str, after: int, wait_ms: int
     ) -> storage.RowsPage:
-        """Wait for changes of a table.
+        """Wait for changes of a table after a revision.
+
+        Parameters
+        ----------
+        table : str
+            Name of the table.
+        after : int
+            Revision up to which the changes are known.
+        wait_ms : int
+            Milliseconds for which the store waits for a change.
 
         Raises
         ------
         PlatformError
-            When there is no answer, or with `PLATFORM_HISTORY` when the
-            changes are no longer known.
+            When the request fails; `PLATFORM_HISTORY` when the store no
+            longer has the changes after that revision.
         """
         fields = {
             'table': table,
@@ -154,19 +169,19 @@
     async def transact(
         self, table: str, transaction: storage.Transaction
     ) -> int:
-        """Write rows if all conditions hold.
+        """Write rows of one table if all conditions hold.
 
         Returns
         -------
         int
-            Revision of the rows written.
+            Revision of the written rows.
 
         Raises
         ------
         PlatformError
-            `PLATFORM_CONFLICT` when a condition does not hold,
-            `PLATFORM_UNKNOWN` when the write may have taken place or may
-            yet do so.
+            `PLATFORM_CONFLICT` when a condition does not hold;
+            `PLATFORM_UNKNOWN` when the write may have taken effect, or may
+            still do so.
         """
         body = _make_transaction(
             table,
@@ -186,7 +201,7 @@
         Parameters
         ----------
         conditions, puts : sequence of tuple
-            Each with the table to which it belongs.
+            Each item with the name of its table.
 
         Raises
         ------
@@ -201,19 +216,21 @@
         )
 
     async def _commit(self, body: bytes) -> int:
-        answer = await self._write('POST', '/v1/rows-tx', body, _JSON)
-        return _decode_page(answer.body).schema_version
+        response = await self._write(
+            'POST', '/v1/rows-tx', body, _JSON_HEADERS
+        )
+        return _decode_page(response.body).schema_version
 
     async def put_object(self, name: str, body: bytes) -> None:
-        """Store an object unless it is there.
+        """Store an object unless one of that name exists.
 
         Raises
         ------
         PlatformError
-            `PLATFORM_CONFLICT` when it is there already.
+            `PLATFORM_CONFLICT` when the object exists.
         """
-        unless_there = (('If-None-Match', '*'),)
-        await self._write('PUT', f'/v1/blob-put/{name}', body, unless_there)
+        if_absent = (('If-None-Match', '*'),)
+        await self._write('PUT', f'/v1/blob-put/{name}', body, if_absent)
 
     async def get_object(self, name: str) -> bytes:
         """Fetch an object.
@@ -221,7 +238,7 @@
         Raises
         ------
         PlatformError
-            `PLATFORM_NO_OBJECT` when it is missing.
+            `PLATFORM_NO_OBJECT` when the object does not exist.
         """
         return await self._read(f'/v1/blob-get/{name}', {})
 
@@ -232,12 +249,12 @@
         url = f'{path}?{query}' if query else path
         call = _carrier.StoreCall('GET', url, wait_ms=wait_ms)
         try:
-            answer = await self.carrier.send(call)
+            response = await self.carrier.send(call)
         except (_carrier.CallNotSent, _carrier.CallLost) as error:
             self.carrier.renew()
             raise _make_error(exceptions.Code.PLATFORM_DOWN, error) from error
-        _check_status(answer)
-        return answer.body
+        _check_status(response)
+        return response.body
 
     async def _write(
         self,
@@ -246,14 +263,14 @@
         body: bytes,
         headers: tuple[tuple[str, str], ...],
     ) -> _carrier.StoreAnswer:
-        answer = await self._send(method, path, body, headers)
-        status = answer.status
-        if status >= STATUS_SERVER_ERROR and status not in _CODES:
+        response = await self._send(method, path, body, headers)
+        status = response.status
+        if status >= STATUS_SERVER_ERROR and status not in _ERROR_CODES:
             raise exceptions.PlatformError(
-                exceptions.Code.PLATFORM_UNKNOWN, f'status {status}'
+                exceptions.Code.PLATFORM_UNKNOWN, f'HTTP status {status}'
             )
-        _check_status(answer)
-        return answer
+        _check_status(response)
+        return response
 
     async def _send(
         self,
@@ -262,7 +279,14 @@
         body: bytes,
         headers: tuple[tuple[str, str], ...],
     ) -> _carrier.StoreAnswer:
-        """Send a call that may write."""
+        """Send a request that may write.
+
+        Raises
+        ------
+        PlatformError
+            `PLATFORM_UNKNOWN` when the request was sent, but its outcome
+            is not known.
+        """
         call = _carrier.StoreCall(method, path, body, headers)
         try:
             return await self.carrier.send(call)
@@ -284,12 +308,13 @@
     entries = len(conditions) + len(puts) + len(deletes)
     if entries > ENTRIES_LIMIT:
         raise exceptions.PlatformError(
-            exceptions.Code.PLATFORM_REFUSED, f'{entries} entries'
+            exceptions.Code.PLATFORM_REFUSED,
+            f'transaction has too many entries: {entries}',
         )
     return _encode_entries(
         [_make_condition(table, item) for item in conditions],
         [_make_put(table, item) for item in puts],
-        [_locate(table, key) for key in deletes],
+        [_make_row_key(table, key) for key in deletes],
     )
 
 
@@ -304,27 +329,28 @@
 
 
 def _make_condition(table: str, item: storage.Condition) -> dict[str, Any]:
-    return {**_locate(table, item.key), 'schema_version': item.revision}
+    return {**_make_row_key(table, item.key), 'schema_version': item.revision}
 
 
 def _make_put(table: str, item: storage.Put) -> dict[str, Any]:
     value = base64.b64encode(item.value).decode('ascii')
-    return {**_locate(table, item.key), 'value': value}
+    return {**_make_row_key(table, item.key), 'value': value}
 
 
-def _locate(table: str, key: str) -> dict[str, Any]:
+def _make_row_key(table: str, key: str) -> dict[str, Any]:
     return {'table': table, 'part': '', 'key': key}
 
 
 def decode_rows(data: bytes) -> tuple[storage.Row, ...]:
-    """Decode the rows of an answer.
+    """Decode the rows of a response.
 
-    A row whose value cannot be read is marked, and leaves the others whole.
+    A row whose value cannot be decoded is marked as unreadable; the other
+    rows are not affected.
 
     Raises
     ------
     PlatformError
-        When the answer is none of the store's.
+        When the response is not in the format of the store.
     """
     return _make_rows(_decode_page(data))
 
@@ -343,7 +369,7 @@
 
 
 def _parse_now_ms(text: str) -> int:
-    """Return the store's clock; 0 where it cannot be read."""
+    """Return the clock of the store in milliseconds; 0 when it is invalid."""
     try:
         return _wire.parse_duration_ms(text)
     except ValueError:
@@ -358,7 +384,7 @@
     try:
         value = base64.b64decode(row.value, validate=True)
     except (TypeError, ValueError):
-        # Whoever decodes the value logs that there is none.
+        # The code that decodes the value logs the error.
         return storage.Row(
             row.key, row.schema_version, b'', row.deleted, is_readable=False
         )
@@ -366,12 +392,12 @@
 
 
 def _check_status(
-    answer: _carrier.StoreAnswer, expected: int = STATUS_OK
+    response: _carrier.StoreAnswer, expected: int = STATUS_OK
 ) -> None:
-    if answer.status == expected:
+    if response.status == expected:
         return
-    code = _CODES.get(answer.status, exceptions.Code.PLATFORM_REFUSED)
-    raise exceptions.PlatformError(code, f'status {answer.status}')
+    code = _ERROR_CODES.get(response.status, exceptions.Code.PLATFORM_REFUSED)
+    raise exceptions.PlatformError(code, f'HTTP status {response.status}')
 
 
 def _make_error(
--- a/sedgering/platform/_tables.py
+++ b/sedgering/platform/_tables.py
@@ -1,4 +1,4 @@
-"""Tables that a daemon watches in the platform's metadata store."""
+"""Asynchronous access to the tables of the platform's metadata store."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,7 @@
 from sedgering.platform import _store
 from sedgering import storage
 
-__all__ = ['PlatformTable', 'tell_failure']
+__all__ = ['PlatformTable', 'make_failed_outcome']
 
 
 class PlatformTable(storage.WatchedTable):
@@ -15,9 +15,9 @@
     Parameters
     ----------
     client : StoreClient
-        Shared by all tables of a process.
+        Client that all tables of a process share.
     name : str
-        Of the table.
+        Name of the table.
     """
 
     def __init__(self, client: _store.StoreClient, name: str):
@@ -25,23 +25,23 @@
         self.name = name
 
     async def read(self, keys: Sequence[str]) -> tuple[storage.Row, ...]:
-        """Read rows as of one moment; see :class:`WatchedTable`."""
+        """Read a consistent snapshot of rows; see :class:`WatchedTable`."""
         return await self.client.read_rows(self.name, keys)
 
     async def transact(
         self, transaction: storage.Transaction
     ) -> storage.Outcome:
-        """Try a transaction once; see :class:`WatchedTable`."""
+        """Send a transaction once; see :class:`WatchedTable`."""
         try:
             revision = await self.client.transact(self.name, transaction)
         except exceptions.PlatformError as error:
-            return tell_failure(error)
+            return make_failed_outcome(error)
         return storage.Outcome(storage.OutcomeKind.DONE, revision=revision)
 
     async def list_rows(
         self, start: str = '', end: str = ''
     ) -> storage.RowsPage:
-        """Read a range of rows; see :class:`WatchedTable`."""
+        """Read the rows in a range of keys; see :class:`WatchedTable`."""
         return await self.client.list_rows(self.name, start, end)
 
     async def watch(self, after: int, wait_ms: int) -> storage.RowsPage:
@@ -49,8 +49,11 @@
         return await self.client.watch(self.name, after, wait_ms)
 
 
-def tell_failure(error: exceptions.PlatformError) -> storage.Outcome:
-    """Make the outcome of a write that failed."""
+def make_failed_outcome(error: exceptions.PlatformError) -> storage.Outcome:
+    """Make the outcome of a failed write.
+
+    Without a response the write may have taken effect.
+    """
     kind = storage.OutcomeKind.NOT_DONE
     if error.code is exceptions.Code.PLATFORM_UNKNOWN:
         kind = storage.OutcomeKind.UNKNOWN
--- a/sedgering/platform/_wire.py
+++ b/sedgering/platform/_wire.py
@@ -1,4 +1,4 @@
-"""Names, durations and versions as the platform writes them."""
+"""Header names of the platform, and its format of durations and versions."""
 
 import re
 
@@ -15,15 +15,15 @@
 #: Environment variable that names the settings file.
 SETTINGS_VARIABLE = 'SEDGERING_NODE_FILE'
 
-#: The platform's header fields by what they hold.
+#: Names of the platform's HTTP header fields.
 HEADERS = mesh.HeaderNames(
     request_id='X-Request-Id',
-    # The time that the sender still waits, not a moment.
+    # The remaining time for which the sender waits, not a point in time.
     deadline_ms='X-Request-Deadline',
     proof='X-Response-Signature',
-    # The id of a target; it may keep it when it starts again.
+    # Id of a target, which may keep its id when it restarts.
     expected_target='X-Expect-Instance',
-    # The target set of the host where the request began.
+    # Target set of the host at which the request entered the mesh.
     origin='X-Caller-Service',
     not_run='X-Not-Executed',
     target='X-Instance-Id',
@@ -32,22 +32,22 @@
     key_scheme='Token',
 )
 
-#: Fewer digits than an infinite number has.
+#: The number of digits is limited, so that the value is always finite.
 _DURATION = re.compile(r'([0-9]{1,15}(?:\.[0-9]{1,30})?)(ms|s)')
 _VERSION = re.compile(r'r([0-9]{1,18})')
 
 
 def parse_duration_ms(text: str) -> int:
-    """Parse a number with its unit, such as ``1500ms`` or ``2.5s``.
+    """Parse a duration in ms or s, such as ``1500ms`` or ``2.5s``.
 
     Raises
     ------
     ValueError
-        When it is no duration.
+        When the text is not a duration.
     """
     match = _DURATION.fullmatch(text)
     if match is None:
-        raise ValueError(f'no duration: {text!r}')
+        raise ValueError(f'not a duration: {text!r}')
     number, unit = match.groups()
     return round(float(number) * (1000 if unit == 's' else 1))
 
@@ -58,9 +58,9 @@
     Raises
     ------
     ValueError
-        When it is no version.
+        When the text is not a version.
     """
     match = _VERSION.fullmatch(text)
     if match is None:
-        raise ValueError(f'no version: {text!r}')
+        raise ValueError(f'not a version: {text!r}')
     return base.Version(int(match.group(1)))
