--- a/features/adapter.feature
+++ b/features/adapter.feature
@@ -1,5 +1,5 @@
-Feature: The adapter to the users' platform
-  Names are decoded once, and what cannot be decoded is refused.
+Feature: Adapter to the users' platform
+  The adapter decodes the platform's formats, and refuses malformed input.
 
   Scenario Outline: Durations
     Then the duration "<text>" is <result>
@@ -23,17 +23,17 @@
       | r    | refused |
       | r-1  | refused |
 
-  Scenario: The settings file of the platform
-    Given the settings file of the platform's page
+  Scenario: The settings file is decoded
+    Given the settings file from the platform's documentation
     Then it is decoded with its addresses, bounds and store
 
-  Scenario: Fields that are not known are left out
-    Given the settings file of the platform's page
+  Scenario: Unknown fields of the settings file are ignored
+    Given the settings file from the platform's documentation
     And a field that is not known
     Then it is decoded with its addresses, bounds and store
 
-  Scenario Outline: A settings file that lacks something is refused
-    Given the settings file of the platform's page
+  Scenario Outline: A settings file without a required field is refused
+    Given the settings file from the platform's documentation
     And its field <field> is missing
     Then it is refused with code 1002
 
@@ -44,22 +44,22 @@
       | platform |
       | bounds   |
 
-  Scenario: A changed file takes effect with a signal and without one
-    Given a follower of the settings file
+  Scenario: A changed settings file takes effect without a signal, and once
+    Given a watcher of the settings file
     When the file changes the address of the store
-    Then the change is applied once
-    And a file that is half written keeps the settings in force
+    Then the new settings are applied once
+    And a partly written file leaves the current settings in force
 
-  Scenario: The operator's document
-    Given the document of the platform's page
+  Scenario: The operator's document is decoded into a bundle
+    Given the document from the platform's documentation
     Then it is a bundle with 2 routes, 3 target sets and limits
-    And the route that may run once is not repeatable
+    And the non-idempotent route is not repeatable
     And the split has weights 90 and 10
 
-  Scenario Outline: Kinds of routes say what may run more than once
-    Given the document of the platform's page
+  Scenario Outline: The kind of a route decides whether requests are repeatable
+    Given the document from the platform's documentation
     And its text ""kind":"safe"" is replaced by ""kind":"<kind>""
-    Then requests of that route may run <times>
+    Then requests on that route may be executed <times>
 
     Examples:
       | kind           | times          |
@@ -67,10 +67,10 @@
       | download       | more than once |
       | non_idempotent | once           |
       | upload         | once           |
-      | unheard-of     | once           |
+      | unknown        | once           |
 
-  Scenario Outline: A document with a fault is refused
-    Given the document of the platform's page
+  Scenario Outline: A malformed document is refused
+    Given the document from the platform's documentation
     And its text "<part>" is replaced by "<other>"
     Then it cannot be decoded
 
@@ -80,10 +80,10 @@
       | 1500ms         | soon      |
       | "attempts":2   | "attempts":"2" |
 
-  Scenario Outline: A document that breaks a rule of bundles is kept out
-    Given the document of the platform's page
+  Scenario Outline: A document that violates the rules for bundles is refused
+    Given the document from the platform's documentation
     And its text "<part>" is replaced by "<other>"
-    Then it is decoded, and refused as a bundle
+    Then it is decoded, but the bundle is refused
 
     Examples:
       | part                | other                |
@@ -91,32 +91,32 @@
       | "attempts":2        | "attempts":0         |
       | 1500ms              | 9000000s             |
 
-  Scenario: Unknown resources and fields of a document are left out
-    Given the document of the platform's page
+  Scenario: Unknown resources and fields of a document are ignored
+    Given the document from the platform's documentation
     And its text ""priority":1" is replaced by ""priority":1,"new":{}"
     Then it is a bundle with 2 routes, 3 target sets and limits
 
-  Scenario: Counters and latencies as text
-    Given counts of 3 answers and 2 refusals
+  Scenario: Counters and latencies are rendered as text metrics
+    Given counts of 3 responses and 2 refusals
     Then their text has both counters and a histogram of 3
 
-  Scenario: A process that stood still counts the time that it lost
-    Given a process that stood still for 4 s
-    Then a request read now counts as 4 s old for a moment
-    And a beat that is 0.2 s late counts as nothing
+  Scenario: Requests read after a pause of the process are aged by the pause
+    Given a process that was paused for 4 s
+    Then a request read now counts as 4 s old for a short time
+    And a tick that is 0.2 s late does not count as a pause
 
-  Scenario: The story of a request is found in the logs of several hosts
+  Scenario: The log lines of a request are collected from several hosts
     Given logs of two hosts in which "id-1" was refused after two attempts
     When "id-1" is explained
-    Then its lines come in the order of time, with the text of SDG-5008
-    And nothing of other requests is shown
+    Then its lines are in the order of time, with the text of SDG-5008
+    And no lines of other requests are shown
 
-  Scenario: A request without a line says why there may be none
+  Scenario: For a request without log lines the possible reason is shown
     Given logs of two hosts in which "id-1" was refused after two attempts
     When "id-9" is explained
-    Then it is said that plain successes are sampled
+    Then the output states that plain successes are sampled
 
-  Scenario: What a host believed is told apart from requests
+  Scenario: The log lines about a host exclude those about single requests
     Given logs of two hosts in which "id-1" was refused after two attempts
     When the host "hall-1" is explained
-    Then only its start and what others believed of it are shown
+    Then only its start and the state that its peer recorded are shown
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the adapter to the users' platform."""
+"""Steps for the adapter to the users' platform."""
 
 import asyncio
 import json
@@ -71,14 +71,14 @@
 
 
 def parse(parser, text) -> str:
-    """Return what a parser makes of a text."""
+    """Return the parsed value as text, or 'refused'."""
     try:
         return str(parser(text))
     except ValueError:
         return 'refused'
 
 
-@given("the settings file of the platform's page")
+@given("the settings file from the platform's documentation")
 def step_settings(context):
     context.file = json.loads(json.dumps(SETTINGS))
 
@@ -117,22 +117,22 @@
         raise AssertionError('accepted')
 
 
-class FollowerSubject:
-    """A follower, the file that it reads, and what it applied."""
+class WatcherSubject:
+    """A settings watcher, its file, and the settings that it applied."""
 
     def __init__(self):
         self.data = json.dumps(SETTINGS).encode()
         self.applied: list[platform.HostSettings] = []
-        self.follower = platform.SettingsWatcher(
+        self.watcher = platform.SettingsWatcher(
             platform.decode_settings(self.data),
             self.applied.append,
             lambda: platform.decode_settings(self.data),
         )
 
 
-@given('a follower of the settings file')
-def step_follower(context):
-    context.subject = FollowerSubject()
+@given('a watcher of the settings file')
+def step_watcher(context):
+    context.subject = WatcherSubject()
 
 
 @when('the file changes the address of the store')
@@ -141,31 +141,31 @@
     context.subject.data = json.dumps(changed).encode()
 
 
-@then('the change is applied once')
+@then('the new settings are applied once')
 def step_applied(context):
     subject = context.subject
-    subject.follower.reload(is_signalled=False)
-    subject.follower.reload()
+    subject.watcher.reload(is_signalled=False)
+    subject.watcher.reload()
     (found,) = subject.applied
     assert found.store.address == '10.200.1.8'
 
 
-@then('a file that is half written keeps the settings in force')
-def step_half_written(context):
+@then('a partly written file leaves the current settings in force')
+def step_partly_written(context):
     subject = context.subject
     subject.data = subject.data[:50]
-    subject.follower.reload()
+    subject.watcher.reload()
     assert len(subject.applied) == 1
-    assert subject.follower.host_settings == subject.applied[0]
+    assert subject.watcher.host_settings == subject.applied[0]
 
 
-@given("the document of the platform's page")
+@given("the document from the platform's documentation")
 def step_document(context):
     context.document = DOCUMENT
 
 
-@then('requests of that route may run {times}')
-def step_may_run(context, times):
+@then('requests on that route may be executed {times}')
+def step_executions(context, times):
     config = platform.decode_document(context.document.encode())
     (route,) = (
         item for item in config.bundle.routes if item.host == 'jepu9.example'
@@ -195,7 +195,7 @@
     context.accepted = config
 
 
-@then('the route that may run once is not repeatable')
+@then('the non-idempotent route is not repeatable')
 def step_not_repeatable(context):
     routes = {route.host: route for route in context.accepted.bundle.routes}
     assert not routes['hulo84.example'].repeatable
@@ -219,18 +219,18 @@
     raise AssertionError('accepted')
 
 
-@then('it is decoded, and refused as a bundle')
-def step_refused_bundle(context):
+@then('it is decoded, but the bundle is refused')
+def step_bundle_refused(context):
     config = platform.decode_document(context.document.encode())
     holder = mesh.ConfigHolder(platform.MESH)
     assert not holder.apply(config)
     assert holder.version == base.NO_VERSION
 
 
-@given('counts of {answers:d} answers and {refusals:d} refusals')
-def step_counts(context, answers, refusals):
+@given('counts of {responses:d} responses and {refusals:d} refusals')
+def step_counts(context, responses, refusals):
     context.counts = observability.RequestCounts()
-    for _ in range(answers):
+    for _ in range(responses):
         context.counts.count('answered', '200')
         context.counts.observe(0.25)
     for _ in range(refusals):
@@ -247,18 +247,18 @@
     assert 'sedgering_members 2' in text
 
 
-@given('a process that stood still for {pause_s:g} s')
-def step_stood_still(context, pause_s):
+@given('a process that was paused for {pause_s:g} s')
+def step_paused(context, pause_s):
     context.pause_s = pause_s
 
 
-@then('a request read now counts as {pause_s:g} s old for a moment')
+@then('a request read now counts as {pause_s:g} s old for a short time')
 def step_counts_old(context, pause_s):
     async def check():
         watch = mesh.PauseWatch()
         now_s = asyncio.get_running_loop().time()
         watch.note_tick(now_s - pause_s - _pause.TICK_S)
-        # Not yet beaten again, then just beaten again.
+        # Before the next tick, and right after it.
         assert abs(watch.find_lag_s() - pause_s) < 0.1
         watch.note_tick(now_s)
         assert abs(await watch.settle() - pause_s) < 0.1
@@ -267,8 +267,8 @@
     asyncio.run(check())
 
 
-@then('a beat that is {late_s:g} s late counts as nothing')
-def step_beat_late(context, late_s):
+@then('a tick that is {late_s:g} s late does not count as a pause')
+def step_late_tick(context, late_s):
     async def check():
         watch = mesh.PauseWatch()
         now_s = asyncio.get_running_loop().time()
@@ -296,33 +296,35 @@
 
 @when('"{request_id}" is explained')
 def step_explain(context, request_id):
-    context.told = list(_explain.explain_request(context.records, request_id))
+    context.explanation = list(
+        _explain.explain_request(context.records, request_id)
+    )
 
 
 @when('the host "{host}" is explained')
 def step_explain_host(context, host):
-    context.told = list(_explain.explain_host(context.records, host))
+    context.explanation = list(_explain.explain_host(context.records, host))
 
 
-@then('its lines come in the order of time, with the text of SDG-5008')
-def step_told(context):
-    assert [line[:2] for line in context.told[:3]] == ['T1', 'T2', 'T3']
-    assert 'SDG-5008: over its limit' in context.told[-1]
+@then('its lines are in the order of time, with the text of SDG-5008')
+def step_explanation(context):
+    assert [line[:2] for line in context.explanation[:3]] == ['T1', 'T2', 'T3']
+    assert 'SDG-5008: over its limit' in context.explanation[-1]
 
 
-@then('nothing of other requests is shown')
-def step_told_alone(context):
-    assert not [line for line in context.told if 'id-2' in line]
+@then('no lines of other requests are shown')
+def step_explanation_only(context):
+    assert not [line for line in context.explanation if 'id-2' in line]
 
 
-@then('it is said that plain successes are sampled')
-def step_told_nothing(context):
-    (line,) = context.told
+@then('the output states that plain successes are sampled')
+def step_explanation_sampled(context):
+    (line,) = context.explanation
     assert 'plain success' in line
 
 
-@then('only its start and what others believed of it are shown')
-def step_told_host(context):
-    first, second = context.told
+@then('only its start and the state that its peer recorded are shown')
+def step_host_explanation(context):
+    first, second = context.explanation
     assert 'started' in first
     assert 'peer suspect' in second and 'detail=reset' in second
