--- a/sedgering/bundle/_codec.py
+++ b/sedgering/bundle/_codec.py
@@ -1,8 +1,8 @@
 """Canonical encoding of a bundle, and its digest.
 
-Two equal bundles have the same bytes: objects are sorted by name, and
-every field is written, in the order in which its struct declares it.  Fields
-on workspaces are left out together where a bundle has none of them.
+Equal bundles have equal encodings: objects are sorted by name, and every
+field is written in the order in which its struct declares it.  A bundle with
+neither workspaces nor keyed routes is encoded without these two fields.
 """
 
 import hashlib
@@ -19,8 +19,8 @@
 MAX_BUNDLE_BYTES = 32 * 1024 * 1024
 
 
-class _OpenBundle(msgspec.Struct, frozen=True):
-    """A bundle that asks for no keys, as earlier releases read it."""
+class _BundleWithoutKeys(msgspec.Struct, frozen=True):
+    """Fields of a bundle without API keys, as earlier releases decode it."""
 
     mesh: str
     policies: tuple[_model.Policy, ...]
@@ -33,7 +33,7 @@
 
 
 def encode_bundle(bundle: _model.Bundle) -> bytes:
-    """Encode a bundle canonically.
+    """Encode a bundle in its canonical form.
 
     Parameters
     ----------
@@ -43,12 +43,12 @@
     Returns
     -------
     bytes
-        The same bytes for equal bundles.
+        MessagePack; the same bytes for equal bundles.
     """
     if bundle.workspaces or bundle.keyed_routes:
         return _ENCODER.encode(bundle)
     return _ENCODER.encode(
-        _OpenBundle(
+        _BundleWithoutKeys(
             bundle.mesh, bundle.policies, bundle.target_sets, bundle.routes
         )
     )
@@ -60,14 +60,14 @@
 
 
 def decode_bundle(encoded: bytes, digest: base.Digest) -> _model.Bundle:
-    """Decode a bundle and compare it with its digest.
+    """Decode a bundle after verifying its digest.
 
     Parameters
     ----------
     encoded : bytes
-        As made by :func:`encode_bundle`.
+        Returned by :func:`encode_bundle`.
     digest : Digest
-        What the sign-off recorded.
+        Digest recorded by the sign-off.
 
     Returns
     -------
@@ -77,10 +77,11 @@
     Raises
     ------
     BundleError
-        When it is too large, differs from its digest or is no bundle.
+        If `encoded` is too large, does not match `digest` or cannot be
+        decoded as a bundle.
     """
     if len(encoded) > MAX_BUNDLE_BYTES:
-        detail = f'{len(encoded)} bytes'
+        detail = f'{len(encoded)} bytes exceed the limit'
         raise exceptions.BundleError(exceptions.Code.BUNDLE_UNREADABLE, detail)
     if compute_digest(encoded) != digest:
         raise exceptions.BundleError(exceptions.Code.BUNDLE_DIGEST)
--- a/sedgering/bundle/_delta.py
+++ b/sedgering/bundle/_delta.py
@@ -1,8 +1,8 @@
-"""Differences between two bundles.
+"""Deltas between two bundles.
 
-A delta names the digests at both of its ends.  It is applied only to the
-bundle that it starts from, and its result is used only when the digest
-of the result is the one stated: a damaged delta changes nothing.
+A delta contains the digests of its base bundle and of its result.  It is
+applied only to its base, and the result is used only if it matches the
+stated digest, so a corrupted delta changes nothing.
 """
 
 from typing import TypeVar
@@ -31,56 +31,65 @@
 ItemT = TypeVar('ItemT')
 
 
-class KindDelta(msgspec.Struct, frozen=True, array_like=True):
-    """Changes to one kind of object: names removed, objects put."""
+class ObjectDelta(msgspec.Struct, frozen=True, array_like=True):
+    """Changes to one kind of object.
+
+    Parameters
+    ----------
+    removed : tuple of str
+        Names of the objects to delete.
+    put : tuple
+        Objects to add, or to replace those of the same name.
+    """
 
     removed: tuple[str, ...]
     put: tuple
 
 
-class PolicyDelta(KindDelta, frozen=True, array_like=True):
+class PolicyDelta(ObjectDelta, frozen=True, array_like=True):
     """Changes to policies."""
 
     put: tuple[_model.Policy, ...]
 
 
-class TargetSetDelta(KindDelta, frozen=True, array_like=True):
+class TargetSetDelta(ObjectDelta, frozen=True, array_like=True):
     """Changes to target sets."""
 
     put: tuple[_model.TargetSet, ...]
 
 
-class RouteDelta(KindDelta, frozen=True, array_like=True):
+class RouteDelta(ObjectDelta, frozen=True, array_like=True):
     """Changes to routes."""
 
     put: tuple[_model.Route, ...]
 
 
-class WorkspaceDelta(KindDelta, frozen=True, array_like=True):
+class WorkspaceDelta(ObjectDelta, frozen=True, array_like=True):
     """Changes to workspaces."""
 
     put: tuple[_model.Workspace, ...]
 
 
-class KeyedRouteDelta(KindDelta, frozen=True, array_like=True):
-    """Changes to the names of routes that need a key."""
+class KeyedRouteDelta(ObjectDelta, frozen=True, array_like=True):
+    """Changes to the names of routes that require an API key."""
 
     put: tuple[base.RouteName, ...]
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True):
-    """What leads from one bundle to another.
+    """Changes that turn one bundle into another.
 
     Parameters
     ----------
     base_digest, digest : bytes
-        Digests (32 bytes) of the bundle to start from and of the result.
+        Digests (32 bytes) of the base bundle and of the result.
     mesh : str
         Mesh of both bundles.
-    policies, target_sets, routes : KindDelta
+    policies, target_sets, routes : ObjectDelta
         Changes to each kind of object.
-    workspaces, keyed_routes : KindDelta
-        The same; at the end, where earlier releases read over them.
+    workspaces, keyed_routes : ObjectDelta
+        Changes to workspaces and to keyed routes.  They come last because
+        earlier releases ignore trailing array elements.
     """
 
     base_digest: bytes
@@ -103,30 +112,35 @@
     new: _model.Bundle,
     new_digest: base.Digest,
 ) -> Delta:
-    """Compute what leads from one bundle to another.
+    """Compute the delta between two bundles.
 
     Parameters
     ----------
     old, new : Bundle
         Validated bundles of the same mesh.
     old_digest, new_digest : Digest
-        Their digests; handed in, since both ends hold them already.
+        Digests of `old` and `new`; the caller has them already.
 
     Returns
     -------
     Delta
-        Such that ``apply_delta(old, old_digest, delta)`` equals `new`.
+        ``apply_delta(old, old_digest, delta)`` returns a bundle equal to
+        `new`.
     """
     return Delta(
         base_digest=old_digest,
         digest=new_digest,
         mesh=new.mesh,
-        policies=PolicyDelta(*_diff(old.policies, new.policies)),
-        target_sets=TargetSetDelta(*_diff(old.target_sets, new.target_sets)),
-        routes=RouteDelta(*_diff(old.routes, new.routes)),
-        workspaces=WorkspaceDelta(*_diff(old.workspaces, new.workspaces)),
+        policies=PolicyDelta(*_compute_changes(old.policies, new.policies)),
+        target_sets=TargetSetDelta(
+            *_compute_changes(old.target_sets, new.target_sets)
+        ),
+        routes=RouteDelta(*_compute_changes(old.routes, new.routes)),
+        workspaces=WorkspaceDelta(
+            *_compute_changes(old.workspaces, new.workspaces)
+        ),
         keyed_routes=KeyedRouteDelta(
-            *_diff(old.keyed_routes, new.keyed_routes)
+            *_compute_changes(old.keyed_routes, new.keyed_routes)
         ),
     )
 
@@ -134,36 +148,38 @@
 def apply_delta(
     old: _model.Bundle, old_digest: base.Digest, delta: Delta
 ) -> _model.Bundle:
-    """Apply a delta to the bundle that it starts from.
+    """Apply a delta to its base bundle.
 
     Parameters
     ----------
     old : Bundle
-        Bundle held.
+        Bundle to change.
     old_digest : Digest
-        Digest of the bundle held.
+        Digest of `old`.
     delta : Delta
-        As decoded.
+        Decoded delta whose base is `old`.
 
     Returns
     -------
     Bundle
-        A new bundle, its digest checked; `old` is unchanged.
+        A new bundle that matches the digest in `delta`; `old` is
+        unchanged.
 
     Raises
     ------
     BundleError
-        When the delta starts elsewhere or its result has another digest.
+        If `old` is not the base of the delta, or the result does not match
+        the digest in the delta.
     """
     if delta.base_digest != old_digest:
         raise exceptions.BundleError(exceptions.Code.BUNDLE_BASE)
     new = _model.make_bundle(
         delta.mesh,
-        _patch(old.policies, delta.policies),
-        _patch(old.target_sets, delta.target_sets),
-        _patch(old.routes, delta.routes),
-        _patch(old.workspaces, delta.workspaces),
-        _patch(old.keyed_routes, delta.keyed_routes),
+        _apply_changes(old.policies, delta.policies),
+        _apply_changes(old.target_sets, delta.target_sets),
+        _apply_changes(old.routes, delta.routes),
+        _apply_changes(old.workspaces, delta.workspaces),
+        _apply_changes(old.keyed_routes, delta.keyed_routes),
     )
     digest = _codec.compute_digest(_codec.encode_bundle(new))
     if digest != delta.digest:
@@ -172,22 +188,22 @@
 
 
 def compose_deltas(first: Delta, second: Delta) -> Delta:
-    """Join two consecutive deltas into one.
+    """Compose two consecutive deltas into one.
 
     Parameters
     ----------
     first, second : Delta
-        `second` starts where `first` ends.
+        The base of `second` is the result of `first`.
 
     Returns
     -------
     Delta
-        From the start of `first` to the end of `second`.
+        Leads from the base of `first` to the result of `second`.
 
     Raises
     ------
     BundleError
-        When the two do not meet.
+        If the base of `second` is not the result of `first`.
     """
     if first.digest != second.base_digest:
         raise exceptions.BundleError(exceptions.Code.BUNDLE_BASE)
@@ -195,14 +211,18 @@
         base_digest=first.base_digest,
         digest=second.digest,
         mesh=second.mesh,
-        policies=PolicyDelta(*_join(first.policies, second.policies)),
+        policies=PolicyDelta(
+            *_compose_changes(first.policies, second.policies)
+        ),
         target_sets=TargetSetDelta(
-            *_join(first.target_sets, second.target_sets)
+            *_compose_changes(first.target_sets, second.target_sets)
+        ),
+        routes=RouteDelta(*_compose_changes(first.routes, second.routes)),
+        workspaces=WorkspaceDelta(
+            *_compose_changes(first.workspaces, second.workspaces)
         ),
-        routes=RouteDelta(*_join(first.routes, second.routes)),
-        workspaces=WorkspaceDelta(*_join(first.workspaces, second.workspaces)),
         keyed_routes=KeyedRouteDelta(
-            *_join(first.keyed_routes, second.keyed_routes)
+            *_compose_changes(first.keyed_routes, second.keyed_routes)
         ),
     )
 
@@ -213,12 +233,12 @@
 
 
 def decode_delta(encoded: bytes) -> Delta:
-    """Decode a delta.
+    """Decompress and decode a delta.
 
     Raises
     ------
     BundleError
-        When it is damaged or too large.
+        If the delta is corrupted or too large.
     """
     try:
         return _DECODER.decode(decompress(encoded, MAX_DELTA_BYTES))
@@ -229,7 +249,14 @@
 
 
 def decompress(encoded: bytes, limit_bytes: int) -> bytes:
-    """Decompress at most `limit_bytes`; refuse more, less or damage."""
+    """Decompress zlib data of at most `limit_bytes` bytes.
+
+    Raises
+    ------
+    BundleError
+        If the data is corrupted, truncated or too large, or is followed by
+        other bytes.
+    """
     decompressor = zlib.decompressobj()
     try:
         data = decompressor.decompress(encoded, limit_bytes)
@@ -239,21 +266,22 @@
         ) from error
     if not decompressor.eof or decompressor.unused_data:
         raise exceptions.BundleError(
-            exceptions.Code.BUNDLE_UNREADABLE, 'compressed data cut or long'
+            exceptions.Code.BUNDLE_UNREADABLE,
+            'compressed data is truncated, too large or has trailing bytes',
         )
     return data
 
 
-def _by_name(items: tuple[ItemT, ...]) -> dict[str, ItemT]:
-    """Return items by their names; a name stands for itself."""
+def _index_by_name(items: tuple[ItemT, ...]) -> dict[str, ItemT]:
+    """Index objects by name; an item that is itself a name is its own key."""
     return {getattr(item, 'name', item): item for item in items}
 
 
-def _diff(
+def _compute_changes(
     old: tuple[ItemT, ...], new: tuple[ItemT, ...]
 ) -> tuple[tuple[str, ...], tuple[ItemT, ...]]:
-    old_by_name = _by_name(old)
-    new_by_name = _by_name(new)
+    old_by_name = _index_by_name(old)
+    new_by_name = _index_by_name(new)
     removed = tuple(name for name in old_by_name if name not in new_by_name)
     put = tuple(
         item
@@ -263,25 +291,27 @@
     return removed, put
 
 
-def _patch(old: tuple[ItemT, ...], delta: KindDelta) -> tuple[ItemT, ...]:
+def _apply_changes(
+    old: tuple[ItemT, ...], delta: ObjectDelta
+) -> tuple[ItemT, ...]:
     if not delta.removed and not delta.put:
         return old
-    items = _by_name(old)
+    items = _index_by_name(old)
     for name in delta.removed:
         items.pop(name, None)
-    items.update(_by_name(delta.put))
+    items.update(_index_by_name(delta.put))
     return tuple(items.values())
 
 
-def _join(
-    first: KindDelta, second: KindDelta
+def _compose_changes(
+    first: ObjectDelta, second: ObjectDelta
 ) -> tuple[tuple[str, ...], tuple]:
-    put = _by_name(first.put)
+    put = _index_by_name(first.put)
     removed = set(first.removed)
     for name in second.removed:
         put.pop(name, None)
         removed.add(name)
-    put_later = _by_name(second.put)
-    put.update(put_later)
-    removed.difference_update(put_later)
+    second_put = _index_by_name(second.put)
+    put.update(second_put)
+    removed.difference_update(second_put)
     return tuple(sorted(removed)), tuple(put.values())
--- a/sedgering/bundle/_model.py
+++ b/sedgering/bundle/_model.py
@@ -1,7 +1,7 @@
 """Typed model of a bundle.
 
-All objects are frozen.  Their constructors only store; every rule is
-declared in :mod:`sedgering.bundle._validation`.
+All objects are immutable.  Their constructors do not validate; every rule
+is declared in :mod:`sedgering.bundle._validation`.
 """
 
 import operator
@@ -30,25 +30,28 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How requests of a route are treated.
+    """Timeout, retries, hedging and priority of the requests of a route.
 
     Parameters
     ----------
     name : str
         Unique among the policies of the bundle.
     timeout_ms : int
-        Deadline of a request that states none, in milliseconds.
+        Timeout of a request that has no deadline of its own, in
+        milliseconds.
     attempts : int
-        Most attempts for a request that may be sent again.
+        Maximum number of attempts for a request that may be retried.
     retry_budget_percent : int
-        Retries allowed, as a share of requests in percent.
+        Retries allowed, as a percentage of requests.
     hedge_after_ms : int
-        Silence after which a repeatable request without body is also sent
-        to a second target; 0 never.
+        Time without an answer, in milliseconds, after which a repeatable
+        request without a body is also sent to a second target; 0 disables
+        hedging.
     latency_goal_ms : int
-        Time within which an answer is worth most; 0 when none is stated.
+        Time in milliseconds within which an answer is worth most to its
+        caller; 0 if there is no goal.
     priority : int
-        Rank under load; 0 is served first.
+        Priority under overload; 0 is served first.
     """
 
     name: base.PolicyName
@@ -61,7 +64,7 @@
 
 
 class TargetSet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Interchangeable targets, which announce themselves under its name.
+    """Interchangeable targets, which register under the name of the set.
 
     Parameters
     ----------
@@ -70,9 +73,10 @@
     party : str
         Owner of the targets.
     slots : int
-        Requests that one target works on at a time.
+        Number of requests that one target processes concurrently.
     connections : int
-        Connections that one target accepts from the whole fleet.
+        Number of connections that one target accepts from all hosts
+        together.
     """
 
     name: base.TargetSetName
@@ -91,7 +95,8 @@
     target_set : str
         Name of a target set of the same bundle.
     weight : int
-        Relative share; 0 keeps the target set without sending to it.
+        Relative share; with 0 the target set stays listed but receives no
+        requests.
     """
 
     target_set: base.TargetSetName
@@ -99,14 +104,14 @@
 
 
 class HeaderMatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A header that must be there with exactly this value.
+    """A request header that must be present with exactly this value.
 
     Parameters
     ----------
     name : str
         Header name, in lower case.
     value : str
-        Value to equal.
+        Expected value, compared case-sensitively.
     """
 
     name: str
@@ -114,7 +119,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which requests go to which target sets, and how.
+    """Maps matching requests to target sets and a policy.
 
     Parameters
     ----------
@@ -125,17 +130,18 @@
     host : str
         Host name of the request, in lower case.
     path_prefix : str
-        Prefix of the path, cut at a path segment; the longest one wins.
+        Prefix of the path, matched on whole path segments; the longest
+        matching prefix wins.
     targets : tuple of WeightedTargetSet
         At least one with a weight above 0.
     policy : str
         Name of a policy of the same bundle.
     methods : tuple of str
-        Methods matched; empty for all.
+        HTTP methods to match; empty for all.
     headers : tuple of HeaderMatch
         Headers that must all match.
     repeatable : bool
-        Whether a request may be sent again when its outcome is unknown.
+        Whether a request may be retried when its outcome is unknown.
     """
 
     name: base.RouteName
@@ -150,20 +156,21 @@
 
 
 class Workspace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A customer's share of the mesh: who may call, and how much.
+    """API keys, priority and rate limit of one customer of the mesh.
 
     Parameters
     ----------
     name : str
         Unique among the workspaces of the bundle.
     key_digests : tuple of str
-        Digests of its API keys; the keys themselves are not kept.
+        SHA-256 digests of its API keys; the keys themselves are not stored.
     priority : int
-        Rank under load, before that of the policy; 0 is served first.
+        Priority under overload, which precedes that of the policy; 0 is
+        served first.
     rate_per_s : int
-        Requests a second that the whole fleet serves; 0 for no limit.
+        Requests per second that all hosts together serve; 0 for no limit.
     burst : int
-        Requests beyond the rate that may come at once.
+        Requests above the rate that may arrive at once.
     """
 
     name: base.WorkspaceName
@@ -174,7 +181,7 @@
 
 
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything that one version puts in force.
+    """The complete configuration of one version.
 
     Parameters
     ----------
@@ -183,10 +190,10 @@
     policies, target_sets, routes : tuple
         Sorted by name; :func:`make_bundle` sorts them.
     workspaces : tuple of Workspace
-        Sorted by name.  Without any, and without keyed routes, the encoding
-        is the one that earlier releases read.
+        Sorted by name.  A bundle with neither workspaces nor keyed routes
+        is encoded in the format that earlier releases decode.
     keyed_routes : tuple of str
-        Sorted names of the routes that need the key of a workspace.
+        Sorted names of the routes that require the API key of a workspace.
     """
 
     mesh: str
@@ -197,7 +204,7 @@
     keyed_routes: tuple[base.RouteName, ...] = ()
 
 
-def _sorted_by_name(items: tuple[NamedT, ...]) -> tuple[NamedT, ...]:
+def _sort_by_name(items: tuple[NamedT, ...]) -> tuple[NamedT, ...]:
     return tuple(sorted(items, key=operator.attrgetter('name')))
 
 
@@ -209,7 +216,7 @@
     workspaces: tuple[Workspace, ...] = (),
     keyed_routes: tuple[base.RouteName, ...] = (),
 ) -> Bundle:
-    """Make a bundle with its objects in canonical order.
+    """Make a bundle whose objects are in canonical order.
 
     Parameters
     ----------
@@ -225,9 +232,9 @@
     """
     return Bundle(
         mesh=mesh,
-        policies=_sorted_by_name(policies),
-        target_sets=_sorted_by_name(target_sets),
-        routes=_sorted_by_name(routes),
-        workspaces=_sorted_by_name(workspaces),
+        policies=_sort_by_name(policies),
+        target_sets=_sort_by_name(target_sets),
+        routes=_sort_by_name(routes),
+        workspaces=_sort_by_name(workspaces),
         keyed_routes=tuple(sorted(keyed_routes)),
     )
--- a/sedgering/bundle/_router.py
+++ b/sedgering/bundle/_router.py
@@ -1,4 +1,4 @@
-"""Which route a request takes; pure functions over a snapshot."""
+"""Route lookup: pure functions over a snapshot."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -12,18 +12,18 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """What routing needs to know of a request.
+    """The parts of a request that routing depends on.
 
     Parameters
     ----------
     method : str
-        In upper case.
+        HTTP method, in upper case.
     host : str
-        In lower case, without port.
+        Host name, in lower case, without a port.
     path : str
-        Without query.
+        Path, without the query.
     headers : mapping of str to str
-        Names in lower case.
+        Header values by name, in lower case.
     """
 
     method: str
@@ -40,44 +40,46 @@
     Parameters
     ----------
     snapshot : Snapshot
-        Taken when the request began.
+        Snapshot taken at the start of the request.
     head : RequestHead
-        The request.
+        Head of the request.
 
     Returns
     -------
     Route or None
-        Longest path prefix first, then most headers, then by method.
+        The matching route with the longest path prefix, then with the most
+        header matches; then a route that lists its methods precedes one for
+        all methods.  None if no route matches.
     """
-    routes = snapshot.routes_by_host.get(head.host)
-    if routes is None:
+    host_routes = snapshot.routes_by_host.get(head.host)
+    if host_routes is None:
         return None
-    for prefix in _list_prefixes(head.path, routes.longest_prefix):
-        for route in routes.by_prefix.get(prefix, ()):
+    for prefix in _generate_prefixes(head.path, host_routes.longest_prefix):
+        for route in host_routes.by_prefix.get(prefix, ()):
             if _matches(route, head):
                 return route
     return None
 
 
-def _list_prefixes(path: str, longest: int) -> Iterator[str]:
-    """Yield all prefixes that cover whole segments of a path, longest first.
+def _generate_prefixes(path: str, max_length: int) -> Iterator[str]:
+    """Yield the prefixes of a path that end at a segment, longest first.
 
-    Those longer than `longest` are left out, so that a path of nothing but
-    slashes takes no longer than others.
+    Prefixes longer than `max_length` are skipped, so that a path that
+    consists of slashes takes no longer than others.
 
-    ``/hall`` covers ``/hall`` and ``/hall/7``, not ``/hallway``.  Looking
-    them up takes 1 us a segment; comparing each of 600 routes took 350 us,
-    a third of the processor time of a call.
+    ``/hall`` is a prefix of ``/hall`` and ``/hall/7``, not of ``/hallway``.
+    Looking up each prefix takes 1 us per segment; comparing each of 600
+    routes took 350 us, a third of the CPU time of a call.
     """
-    if len(path) <= longest:
+    if len(path) <= max_length:
         yield path
-    end = min(len(path), longest + 1)
-    while (cut := path.rfind('/', 0, end)) >= 0:
-        if cut + 1 < len(path):
-            yield path[: cut + 1]
-        if cut > 0:
-            yield path[:cut]
-        end = cut
+    end = min(len(path), max_length + 1)
+    while (slash_index := path.rfind('/', 0, end)) >= 0:
+        if slash_index + 1 < len(path):
+            yield path[: slash_index + 1]
+        if slash_index > 0:
+            yield path[:slash_index]
+        end = slash_index
 
 
 def _matches(route: _model.Route, head: RequestHead) -> bool:
--- a/sedgering/bundle/_snapshot.py
+++ b/sedgering/bundle/_snapshot.py
@@ -1,4 +1,4 @@
-"""The bundle in force, and the one place where it is replaced."""
+"""The bundle in force, and the holder that replaces it atomically."""
 
 import threading
 
@@ -13,13 +13,13 @@
 
 
 class HostRoutes(msgspec.Struct, frozen=True):
-    """Routes of one host.
+    """Routes of one host name.
 
     Parameters
     ----------
-    by_prefix : dict
-        Routes by path prefix; those of one prefix with the most specific
-        ones first.
+    by_prefix : dict of str to tuple of Route
+        Routes by path prefix; the routes of one prefix are sorted from the
+        most to the least specific one.
     longest_prefix : int
         Length of the longest prefix, in characters.
     """
@@ -29,9 +29,9 @@
 
 
 class Snapshot:
-    """A validated bundle, compiled for lookups.  Never changes.
+    """A validated bundle, indexed for lookups.  Immutable.
 
-    A request takes the snapshot once and keeps it until it ends.
+    A request takes the snapshot once and uses it until the request ends.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     digest : Digest
         Digest of the bundle.
     bundle : Bundle
-        Validated content.
+        Validated bundle.
     """
 
     __slots__ = (
@@ -65,20 +65,24 @@
         self.digest = digest
         self.bundle = bundle
         self.policies = {policy.name: policy for policy in bundle.policies}
-        self.target_sets = {item.name: item for item in bundle.target_sets}
+        self.target_sets = {
+            target_set.name: target_set for target_set in bundle.target_sets
+        }
         self.routes_by_host = _index_routes(bundle)
-        self.workspaces = {item.name: item for item in bundle.workspaces}
-        #: Workspaces by the digests of their keys.
+        self.workspaces = {
+            workspace.name: workspace for workspace in bundle.workspaces
+        }
+        #: Workspaces by the digests of their API keys.
         self.workspaces_by_key = {
-            digest: item
-            for item in bundle.workspaces
-            for digest in item.key_digests
+            key_digest: workspace
+            for workspace in bundle.workspaces
+            for key_digest in workspace.key_digests
         }
         self.keyed_routes = frozenset(bundle.keyed_routes)
 
     @property
     def has_workspaces(self) -> bool:
-        """Whether callers may have to say who they are."""
+        """Whether some requests may have to be authenticated by API key."""
         return bool(self.workspaces or self.keyed_routes)
 
 
@@ -86,38 +90,39 @@
     version: base.Version,
     digest: base.Digest,
     bundle: _model.Bundle,
-    held: _model.Bundle | None = None,
+    validated: _model.Bundle | None = None,
 ) -> Snapshot:
-    """Validate a bundle and compile it.
+    """Validate a bundle and make a snapshot of it.
 
     Parameters
     ----------
     version, digest, bundle
         See :class:`Snapshot`.
-    held : Bundle or None
-        Validated before; see :func:`check_bundle`.
+    validated : Bundle or None
+        A bundle that has passed validation; see :func:`check_bundle`.
 
     Raises
     ------
     BundleError
-        When any rule is broken; nothing is compiled then.
+        If the bundle violates a rule.
     """
-    _validation.check_bundle(bundle, held)
+    _validation.check_bundle(bundle, validated)
     return Snapshot(version, digest, bundle)
 
 
 class BundleHolder:
-    """Holds the snapshot in force; it only ever moves to a greater version.
+    """Holds the snapshot in force, whose version only ever increases.
 
     Parameters
     ----------
     mesh : str
-        Mesh whose bundles are accepted.
+        Name of the mesh whose bundles are accepted.
 
     Notes
     -----
-    Readers take :attr:`snapshot` without a lock: it is replaced by one
-    reference assignment, so they see the old one or the new one, whole.
+    Readers read :attr:`snapshot` without a lock.  It is replaced by a single
+    reference assignment, so a reader gets either the old snapshot or the new
+    one, never a mixture.
     """
 
     def __init__(self, mesh: str):
@@ -127,7 +132,7 @@
 
     @property
     def version(self) -> base.Version:
-        """Version in force; `NO_VERSION` when there is none."""
+        """Version in force, or `NO_VERSION` if there is none."""
         snapshot = self.snapshot
         return snapshot.version if snapshot else base.NO_VERSION
 
@@ -138,40 +143,42 @@
         bundle: _model.Bundle,
         floor: base.Version = base.NO_VERSION,
     ) -> Snapshot:
-        """Put a bundle in force, whole or not at all.
+        """Put a bundle in force atomically.
 
         Parameters
         ----------
         version : Version
             Must be greater than the version in force.
         digest : Digest
-            Digest of `bundle`, already compared by the decoder.
+            Digest of `bundle`, already verified by the decoder.
         bundle : Bundle
-            Validated here.
+            Bundle, which is validated by this method.
         floor : Version
-            Least version allowed, which an earlier incarnation may have
-            held.
+            Lowest version accepted: an earlier incarnation of this host may
+            have held it.
 
         Returns
         -------
         Snapshot
-            Now in force.
+            Snapshot now in force.
 
         Raises
         ------
         BundleError
-            When the bundle is refused; the version in force stays.
+            If the bundle is rejected; the version in force is unchanged.
         """
         if bundle.mesh != self.mesh:
             raise exceptions.BundleError(
                 exceptions.Code.BUNDLE_MESH, repr(bundle.mesh)
             )
-        held = self.snapshot.bundle if self.snapshot else None
-        snapshot = make_snapshot(version, digest, bundle, held)
+        current = self.snapshot.bundle if self.snapshot else None
+        snapshot = make_snapshot(version, digest, bundle, current)
         with self._lock:
             if version <= self.version or version < floor:
-                least = max(self.version + 1, floor)
-                detail = f'{version}, accepted from {least}'
+                lowest_accepted = max(self.version + 1, floor)
+                detail = (
+                    f'version {version}, lowest accepted is {lowest_accepted}'
+                )
                 raise exceptions.BundleError(
                     exceptions.Code.BUNDLE_ORDER, detail
                 )
@@ -180,25 +187,30 @@
 
 
 def _index_routes(bundle: _model.Bundle) -> dict[str, HostRoutes]:
-    """Group routes by host and path prefix, the most specific ones first."""
+    """Index routes by host and path prefix, most specific routes first."""
     by_host: dict[str, dict[str, list[_model.Route]]] = {}
     for route in bundle.routes:
         by_prefix = by_host.setdefault(route.host, {})
         by_prefix.setdefault(route.path_prefix, []).append(route)
     return {
         host: HostRoutes(
-            {prefix: _order(routes) for prefix, routes in by_prefix.items()},
+            {
+                prefix: _sort_by_specificity(routes)
+                for prefix, routes in by_prefix.items()
+            },
             max(map(len, by_prefix)),
         )
         for host, by_prefix in by_host.items()
     }
 
 
-def _order(routes: list[_model.Route]) -> tuple[_model.Route, ...]:
+def _sort_by_specificity(
+    routes: list[_model.Route],
+) -> tuple[_model.Route, ...]:
     if len(routes) == 1:
         return tuple(routes)
-    return tuple(sorted(routes, key=_specificity))
+    return tuple(sorted(routes, key=_make_specificity_key))
 
 
-def _specificity(route: _model.Route) -> tuple[int, int, str]:
+def _make_specificity_key(route: _model.Route) -> tuple[int, int, str]:
     return (-len(route.headers), 0 if route.methods else 1, route.name)
--- a/sedgering/bundle/_source.py
+++ b/sedgering/bundle/_source.py
@@ -1,4 +1,4 @@
-"""Bundles as operators write them: YAML files."""
+"""Loading of bundles from the YAML files that operators write."""
 
 import pathlib
 
@@ -12,33 +12,34 @@
 
 
 def load_bundle(path: pathlib.Path) -> _model.Bundle:
-    """Read, sort and validate a bundle file.
+    """Load a bundle file, sort its objects by name and validate it.
 
     Parameters
     ----------
     path : Path
-        YAML with the fields of :class:`Bundle`.
+        YAML file with the fields of :class:`Bundle`.
 
     Returns
     -------
     Bundle
-        Valid and in canonical order.
+        Valid bundle whose objects are in canonical order.
 
     Raises
     ------
     BundleError
-        With the path of the offending key.
+        If the file cannot be read or the bundle is invalid; the message
+        contains the path of the invalid key.
     """
-    # Imported here: daemons read no bundle files.
+    # Imported lazily: daemons import this module but load no bundle files.
     import yaml
 
     try:
         document = yaml.safe_load(path.read_text(encoding='utf-8'))
         bundle = msgspec.convert(document, _model.Bundle)
     except (OSError, UnicodeError, yaml.YAMLError) as error:
-        raise _unreadable(path, error) from error
+        raise _make_unreadable_error(path, error) from error
     except msgspec.ValidationError as error:
-        raise _unreadable(path, error) from error
+        raise _make_unreadable_error(path, error) from error
     ordered = _model.make_bundle(
         bundle.mesh,
         bundle.policies,
@@ -50,7 +51,7 @@
     return _validation.check_bundle(ordered)
 
 
-def _unreadable(
+def _make_unreadable_error(
     path: pathlib.Path, error: Exception
 ) -> exceptions.BundleError:
     first_line = str(error).splitlines()[0]
