--- a/features/bundle.feature
+++ b/features/bundle.feature
@@ -1,40 +1,40 @@
-Feature: A proxy holds a version whole or not at all
-  Differences, damage and dangling references never leave a proxy with
-  part of a bundle, and no proxy goes back.
+Feature: A proxy applies a version completely or not at all
+  Deltas, corruption and dangling references never leave a proxy with part
+  of a bundle, and no proxy returns to a lower version.
 
-  Scenario: A difference leads from any bundle to any other
-    Then applying the difference of any two bundles gives the second one
+  Scenario: A delta leads from any bundle to any other
+    Then applying the delta between any two bundles gives the second one
 
-  Scenario: Differences of consecutive versions can be joined
-    Then joined differences lead from the first bundle to the last one
+  Scenario: Deltas of consecutive versions can be composed
+    Then composed deltas lead from the first bundle to the last one
 
-  Scenario: Equal bundles have the same digest, whatever the order
-    Then the order in which objects are written changes no digest
+  Scenario: Equal bundles have the same digest, whatever the order of objects
+    Then the order of the objects does not change the digest
 
-  Scenario: A damaged bundle is refused whole
-    Then any damage to an encoded bundle leaves the version in force
+  Scenario: A corrupted bundle is refused
+    Then any corruption of an encoded bundle leaves the version in force unchanged
 
-  Scenario: A damaged difference is refused whole
-    Then any damage to an encoded difference leaves the version in force
+  Scenario: A corrupted delta is refused
+    Then any corruption of an encoded delta leaves the version in force unchanged
 
-  Scenario: A difference from another version is refused as such
-    Then a difference that starts from another bundle is refused with 1107
+  Scenario: A delta from another version is refused
+    Then a delta with another base is refused with 1107
 
-  Scenario: Routes are found as by comparing each of them
-    Then any path finds the route that comparing all of them finds
+  Scenario: Route lookup agrees with a comparison of all routes
+    Then any path finds the same route as a comparison of all routes
 
-  Scenario: No route in force lacks what it points at
-    Then taking away a policy or a target set in use is refused with 1103
+  Scenario: No route in force has a dangling reference
+    Then removing a policy or a target set in use is refused with 1103
 
-  Scenario: No proxy goes back
-    Then versions in any order leave the greatest one in force
+  Scenario: No proxy returns to a lower version
+    Then versions applied in any order leave the greatest one in force
 
-  Scenario: No proxy goes under its floor
+  Scenario: No proxy applies a version below its floor
     Given a holder whose floor is 7
     When version 6 is applied
     Then it is refused with 1108 and nothing is in force
 
-  Scenario Outline: A mistake in a bundle file is named
+  Scenario Outline: The error message names a mistake in a bundle file
     Given a bundle file of <example> where "<old>" is replaced by "<new>"
     Then it is refused with <code> naming "<named>"
 
@@ -48,7 +48,7 @@
       | tuulai  | timeout_ms: 10000  | timeout: 10000    | 1101 | timeout                    |
       | tuulai  | /bookings          | /scores           | 1104 | routes.bookings            |
 
-  Scenario: A request keeps the snapshot that it began with
+  Scenario: A request uses the snapshot that it started with
     Given a holder with version 1 in force
     And a request that took its snapshot
     When version 2 without any route is applied
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,11 +1,11 @@
-Feature: Where requests were lost
-  From the lines that daemons write.
+Feature: Report on where requests were lost
+  It is made from the log lines of the daemons.
 
   Background:
-    Given the gathered log of two daemons, features/traces/losses.log
+    Given the collected log of two daemons, features/traces/losses.log
 
-  Scenario: Losses by window, route, code, reason, tries and hop
-    When losses are told in windows of 2 s
+  Scenario: Losses are counted by window, route, code, reason, tries and hop
+    When losses are reported in windows of 2 s
     Then the rows are
       | from_s | lost | code       | tries | hop    | reason          | route   |
       | 0.0    | 1    | SDG-5001   | 0     | caller |                 |         |
@@ -16,19 +16,19 @@
       | 4.0    | 1    | SDG-5007   | 1     | target | awaited         | upload  |
     And 7 requests are lost, and 3 lines dropped
 
-  Scenario: Only a span is looked at
-    When losses are told from second 2 to second 4
+  Scenario: A report can be restricted to a time range
+    When losses are reported from second 2 to second 4
     Then 3 requests are lost, and 0 lines dropped
 
-  Scenario: Without a time before each line, seconds count from the first one
-    When losses are told of the same lines without what is before them
+  Scenario: Without time prefixes, seconds count from the first line
+    When losses are reported for the same lines without their prefixes
     Then 7 requests are lost, and 3 lines dropped
     And the first row begins at second 0
 
-  Scenario: The program tells a table, and the same as JSON
+  Scenario: The program prints a table, or the same as JSON
     When "sedgering losses" is run on the log
     Then its table has 6 rows and its JSON the same
 
-  Scenario: Windows without a length are refused
-    When losses are told in windows of 0 s
+  Scenario: Windows of length 0 are refused
+    When losses are reported in windows of 0 s
     Then that is refused with code 1005
--- a/features/steps/bundle_steps.py
+++ b/features/steps/bundle_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bundles, differences and the version in force."""
+"""Steps for bundles, deltas and the version in force."""
 
 import pathlib
 import tempfile
@@ -19,22 +19,20 @@
 EXAMPLES = pathlib.Path(__file__).parent.parent.parent / 'examples'
 
 
-class BundleSubject:
-    """A holder, and what happens to content on its way into it."""
+class BundleFixture:
+    """A bundle holder, to which bundles and deltas are applied."""
 
     def __init__(self):
         self.holder = bundles.BundleHolder(MESH)
         self.floor = 0
         self.error = None
 
-    def digest(self, content):
-        return bundles.compute_digest(bundles.encode_bundle(content))
+    def digest(self, bundle):
+        return bundles.compute_digest(bundles.encode_bundle(bundle))
 
-    def apply(self, version, content):
+    def apply(self, version, bundle):
         try:
-            self.holder.apply(
-                version, self.digest(content), content, self.floor
-            )
+            self.holder.apply(version, self.digest(bundle), bundle, self.floor)
         except exceptions.BundleError as error:
             self.error = error
 
@@ -42,18 +40,18 @@
         return bundles.make_delta(old, self.digest(old), new, self.digest(new))
 
     def receive_full(self, encoded, digest):
-        content = bundles.decode_bundle(encoded, digest)
-        self.holder.apply(self.holder.version + 1, digest, content)
+        bundle = bundles.decode_bundle(encoded, digest)
+        self.holder.apply(self.holder.version + 1, digest, bundle)
 
     def receive_delta(self, encoded):
         held = self.holder.snapshot
         delta = bundles.decode_delta(encoded)
-        content = bundles.apply_delta(held.bundle, held.digest, delta)
-        self.holder.apply(held.version + 1, delta.digest, content)
+        bundle = bundles.apply_delta(held.bundle, held.digest, delta)
+        self.holder.apply(held.version + 1, delta.digest, bundle)
 
 
-def damage(data, encoded):
-    """Cut, flip or insert bytes."""
+def corrupt(data, encoded):
+    """Truncate the bytes, change one of them or insert others."""
     index = data.draw(st.integers(0, len(encoded) - 1))
     kind = data.draw(st.sampled_from(['cut', 'flip', 'insert']))
     if kind == 'cut':
@@ -64,175 +62,181 @@
     return encoded[:index] + data.draw(st.binary(min_size=1)) + encoded[index:]
 
 
-@then('applying the difference of any two bundles gives the second one')
+@then('applying the delta between any two bundles gives the second one')
 def step_delta(context):
     @PROPERTY
     @hypothesis.given(valid_bundles(), valid_bundles())
     def check(old, new):
-        subject = BundleSubject()
+        fixture = BundleFixture()
         delta = bundles.decode_delta(
-            bundles.encode_delta(subject.delta(old, new))
+            bundles.encode_delta(fixture.delta(old, new))
         )
-        assert bundles.apply_delta(old, subject.digest(old), delta) == new
+        assert bundles.apply_delta(old, fixture.digest(old), delta) == new
 
     check()
 
 
-@then('joined differences lead from the first bundle to the last one')
+@then('composed deltas lead from the first bundle to the last one')
 def step_compose(context):
     @PROPERTY
     @hypothesis.given(st.lists(valid_bundles(), min_size=3, max_size=5))
-    def check(chain):
-        subject = BundleSubject()
-        joined = subject.delta(chain[0], chain[1])
-        for old, new in zip(chain[1:], chain[2:]):
-            joined = bundles.compose_deltas(joined, subject.delta(old, new))
-        first = chain[0]
-        reached = bundles.apply_delta(first, subject.digest(first), joined)
-        assert reached == chain[-1]
+    def check(sequence):
+        fixture = BundleFixture()
+        composed = fixture.delta(sequence[0], sequence[1])
+        for old, new in zip(sequence[1:], sequence[2:]):
+            composed = bundles.compose_deltas(
+                composed, fixture.delta(old, new)
+            )
+        first = sequence[0]
+        result = bundles.apply_delta(first, fixture.digest(first), composed)
+        assert result == sequence[-1]
 
     check()
 
 
-@then('the order in which objects are written changes no digest')
+@then('the order of the objects does not change the digest')
 def step_canonical(context):
     @PROPERTY
     @hypothesis.given(valid_bundles(), st.randoms(use_true_random=False))
-    def check(content, random):
+    def check(bundle, random):
         kinds = []
         for kind in (
-            content.policies,
-            content.target_sets,
-            content.routes,
-            content.workspaces,
-            content.keyed_routes,
+            bundle.policies,
+            bundle.target_sets,
+            bundle.routes,
+            bundle.workspaces,
+            bundle.keyed_routes,
         ):
             shuffled = list(kind)
             random.shuffle(shuffled)
             kinds.append(shuffled)
-        subject = BundleSubject()
-        again = bundles.make_bundle(MESH, *kinds)
-        assert subject.digest(again) == subject.digest(content)
+        fixture = BundleFixture()
+        reordered = bundles.make_bundle(MESH, *kinds)
+        assert fixture.digest(reordered) == fixture.digest(bundle)
 
     check()
 
 
-@then('any damage to an encoded bundle leaves the version in force')
+@then(
+    'any corruption of an encoded bundle leaves the version in force unchanged'
+)
 def step_damaged_bundle(context):
     @PROPERTY
     @hypothesis.given(valid_bundles(), valid_bundles(), st.data())
     def check(held, offered, data):
-        subject = BundleSubject()
-        subject.apply(1, held)
+        fixture = BundleFixture()
+        fixture.apply(1, held)
         encoded = bundles.encode_bundle(offered)
-        damaged = damage(data, encoded)
+        corrupted = corrupt(data, encoded)
         if data.draw(st.booleans()):
-            # Sound in itself, but not what was signed off.
-            damaged = bundles.encode_bundle(data.draw(valid_bundles()))
-        hypothesis.assume(damaged != encoded)
+            # A valid bundle, but not the one that was signed off.
+            corrupted = bundles.encode_bundle(data.draw(valid_bundles()))
+        hypothesis.assume(corrupted != encoded)
         try:
-            subject.receive_full(damaged, subject.digest(offered))
+            fixture.receive_full(corrupted, fixture.digest(offered))
         except exceptions.BundleError:
             pass
         else:
-            raise AssertionError('damaged content was accepted')
-        assert subject.holder.snapshot.bundle == held
+            raise AssertionError('a corrupted bundle was accepted')
+        assert fixture.holder.snapshot.bundle == held
 
     check()
 
 
-@then('any damage to an encoded difference leaves the version in force')
+@then(
+    'any corruption of an encoded delta leaves the version in force unchanged'
+)
 def step_damaged_delta(context):
     @PROPERTY
     @hypothesis.given(valid_bundles(), valid_bundles(), st.data())
     def check(held, offered, data):
-        subject = BundleSubject()
-        subject.apply(1, held)
-        damaged = damage(
-            data, msgspec.msgpack.encode(subject.delta(held, offered))
+        fixture = BundleFixture()
+        fixture.apply(1, held)
+        corrupted = corrupt(
+            data, msgspec.msgpack.encode(fixture.delta(held, offered))
         )
         try:
-            decoded = msgspec.msgpack.decode(damaged, type=bundles.Delta)
-            subject.receive_delta(bundles.encode_delta(decoded))
+            decoded = msgspec.msgpack.decode(corrupted, type=bundles.Delta)
+            fixture.receive_delta(bundles.encode_delta(decoded))
         except (exceptions.BundleError, msgspec.DecodeError):
-            assert subject.holder.snapshot.bundle == held
+            assert fixture.holder.snapshot.bundle == held
         else:
-            # Damage that the digest does not see changed nothing.
-            snapshot = subject.holder.snapshot
-            assert snapshot.digest == subject.digest(snapshot.bundle)
+            # Corruption that passes the digest check changes nothing.
+            snapshot = fixture.holder.snapshot
+            assert snapshot.digest == fixture.digest(snapshot.bundle)
             assert snapshot.bundle == offered
 
     check()
 
 
-@then('a difference that starts from another bundle is refused with 1107')
+@then('a delta with another base is refused with 1107')
 def step_other_base(context):
     @PROPERTY
     @hypothesis.given(valid_bundles(), valid_bundles(), valid_bundles())
     def check(held, other, new):
         hypothesis.assume(held != other)
-        subject = BundleSubject()
-        subject.apply(1, held)
+        fixture = BundleFixture()
+        fixture.apply(1, held)
         try:
-            subject.receive_delta(
-                bundles.encode_delta(subject.delta(other, new))
+            fixture.receive_delta(
+                bundles.encode_delta(fixture.delta(other, new))
             )
         except exceptions.BundleError as error:
             assert error.code is exceptions.Code.BUNDLE_BASE, str(error)
         else:
-            raise AssertionError('it was accepted')
-        assert subject.holder.snapshot.bundle == held
+            raise AssertionError('the delta was accepted')
+        assert fixture.holder.snapshot.bundle == held
 
     check()
 
 
-@then('taking away a policy or a target set in use is refused with 1103')
+@then('removing a policy or a target set in use is refused with 1103')
 def step_dangling(context):
     @PROPERTY
     @hypothesis.given(valid_bundles(), st.data())
-    def check(content, data):
-        hypothesis.assume(content.routes)
-        route = data.draw(st.sampled_from(content.routes))
-        share = data.draw(st.sampled_from(route.targets))
+    def check(bundle, data):
+        hypothesis.assume(bundle.routes)
+        route = data.draw(st.sampled_from(bundle.routes))
+        weighted = data.draw(st.sampled_from(route.targets))
         kind, name = data.draw(
             st.sampled_from(
                 [
                     ('policies', route.policy),
-                    ('target_sets', share.target_set),
+                    ('target_sets', weighted.target_set),
                 ]
             )
         )
-        kept = tuple(i for i in getattr(content, kind) if i.name != name)
-        broken = msgspec.structs.replace(content, **{kind: kept})
-        subject = BundleSubject()
-        subject.apply(1, content)
-        subject.apply(2, broken)
-        assert subject.error.code == exceptions.Code.BUNDLE_DANGLING
-        assert subject.holder.version == 1
+        remaining = tuple(i for i in getattr(bundle, kind) if i.name != name)
+        broken = msgspec.structs.replace(bundle, **{kind: remaining})
+        fixture = BundleFixture()
+        fixture.apply(1, bundle)
+        fixture.apply(2, broken)
+        assert fixture.error.code == exceptions.Code.BUNDLE_DANGLING
+        assert fixture.holder.version == 1
 
     check()
 
 
-@then('versions in any order leave the greatest one in force')
+@then('versions applied in any order leave the greatest one in force')
 def step_greatest(context):
-    content = bundles.make_bundle(MESH)
+    bundle = bundles.make_bundle(MESH)
 
     @PROPERTY
     @hypothesis.given(st.lists(st.integers(1, 50), min_size=1))
     def check(versions):
-        subject = BundleSubject()
+        fixture = BundleFixture()
         greatest = 0
         for version in versions:
-            subject.apply(version, content)
+            fixture.apply(version, bundle)
             greatest = max(greatest, version)
-            assert subject.holder.version == greatest
+            assert fixture.holder.version == greatest
 
     check()
 
 
 @given('a holder whose floor is {floor:d}')
 def step_floor(context, floor):
-    context.bundle = BundleSubject()
+    context.bundle = BundleFixture()
     context.bundle.floor = floor
 
 
@@ -264,12 +268,12 @@
         assert int(error.code) == code, str(error)
         assert named in str(error), str(error)
     else:
-        raise AssertionError('the file was accepted')
+        raise AssertionError('the bundle file was accepted')
 
 
 @given('a holder with version 1 in force')
 def step_in_force(context):
-    context.bundle = BundleSubject()
+    context.bundle = BundleFixture()
     context.content = bundles.load_bundle(EXAMPLES / 'tuulai' / 'bundle.yaml')
     context.bundle.holder.mesh = context.content.mesh
     context.bundle.apply(1, context.content)
@@ -296,7 +300,7 @@
 
 
 def _find_by_comparing(snapshot, head):
-    """Find the most specific route by looking at all of them."""
+    """Find the most specific route by comparing all routes."""
     matching = [
         route
         for route in snapshot.bundle.routes
@@ -317,11 +321,11 @@
 def _has_prefix(path, prefix):
     if not path.startswith(prefix):
         return False
-    is_cut = prefix.endswith('/') or len(path) == len(prefix)
-    return is_cut or path[len(prefix)] == '/'
+    ends_at_segment = prefix.endswith('/') or len(path) == len(prefix)
+    return ends_at_segment or path[len(prefix)] == '/'
 
 
-@then('any path finds the route that comparing all of them finds')
+@then('any path finds the same route as a comparison of all routes')
 def step_any_path(context):
     segments = st.lists(st.sampled_from(['', 'a', 'b', 'ab']), max_size=4)
     paths = segments.map(lambda items: '/' + '/'.join(items))
@@ -345,9 +349,9 @@
                 path_prefix=prefix,
                 targets=(bundles.WeightedTargetSet('t'),),
                 policy='x',
-                methods=only,
+                methods=route_methods,
             )
-            for number, (prefix, only) in enumerate(items)
+            for number, (prefix, route_methods) in enumerate(items)
         )
         bundle = bundles.make_bundle(
             'm',
--- a/features/steps/burn_steps.py
+++ b/features/steps/burn_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the report on service-level burn."""
+"""Steps for the report on the burn rate of the error budget."""
 
 import pathlib
 import tempfile
@@ -16,8 +16,8 @@
 OBJECTIVE = 0.99
 
 
-class BurnSubject:
-    """Counters of two hosts, scraped into two folders."""
+class BurnFixture:
+    """Request counters of two hosts, scraped into two folders."""
 
     def __init__(self):
         self.temporary = tempfile.TemporaryDirectory(prefix='burn-')
@@ -28,20 +28,20 @@
         self.scrape('before')
 
     def scrape(self, name: str) -> None:
-        """Write what both hosts tell now."""
+        """Write the current metrics of both hosts."""
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         for host, counts in self.counts.items():
             (folder / f'{host}.txt').write_bytes(counts.render({}))
 
     def answer(self, host, count, elapsed_ms, status='200'):
-        """Count answers."""
+        """Count `count` answers that took `elapsed_ms` each."""
         for _ in range(count):
             self.counts[host].count('answered', status)
             self.counts[host].observe(elapsed_ms / 1000)
 
     def report(self) -> _burn.BurnReport:
-        """Make the report."""
+        """Make the report on the time between the scrapes."""
         return _burn.make_burn_report(
             _burn.read_scrapes(self.folder / 'before'),
             _burn.read_scrapes(self.folder / 'after'),
@@ -52,16 +52,15 @@
 
 @given('scrapes of two hosts before and after')
 def step_scrapes(context):
-    context.burn = BurnSubject()
+    context.burn = BurnFixture()
     context.cleanups.append(context.burn.temporary.cleanup)
 
 
 @when(
-    '"{host}" has answered {quick:d} requests in 100 ms '
-    'and {slow:d} in 1000 ms'
+    '"{host}" has answered {fast:d} requests in 100 ms and {slow:d} in 1000 ms'
 )
-def step_answered(context, host, quick, slow):
-    context.burn.answer(host, quick, 100)
+def step_answered(context, host, fast, slow):
+    context.burn.answer(host, fast, 100)
     context.burn.answer(host, slow, 1000)
 
 
@@ -71,7 +70,7 @@
     context.burn.scrape('before')
 
 
-@when('"{host}" is started anew')
+@when('"{host}" is restarted')
 def step_started(context, host):
     context.burn.counts[host] = observability.RequestCounts()
 
@@ -106,24 +105,24 @@
 
 @then('the report names SDG-{code:d}')
 def step_names(context, code):
-    lines = list(_burn.show_report(context.burn.report()))
+    lines = list(_burn.format_burn_report(context.burn.report()))
     assert any(f'SDG-{code}' in line for line in lines), lines
 
 
 @when('the report is made with {fault}')
 def step_fault(context, fault):
-    subject = context.burn
-    subject.answer('hall-1', 1, 100)
-    subject.scrape('after')
+    fixture = context.burn
+    fixture.answer('hall-1', 1, 100)
+    fixture.scrape('after')
     if fault == 'a goal of 123 ms':
-        subject.goal_ms = 123
+        fixture.goal_ms = 123
     elif fault == 'an objective of 1':
-        subject.objective = 1.0
+        fixture.objective = 1.0
     elif fault == 'an empty folder':
-        for path in (subject.folder / 'after').iterdir():
+        for path in (fixture.folder / 'after').iterdir():
             path.unlink()
     else:
-        (subject.folder / 'after' / 'hall-1.txt').write_text('no { text')
+        (fixture.folder / 'after' / 'hall-1.txt').write_text('no { text')
 
 
 @then('it is refused with code {code:d} as a setting')
@@ -133,4 +132,4 @@
     except exceptions.SettingsError as error:
         assert int(error.code) == code, error
         return
-    raise AssertionError('accepted')
+    raise AssertionError('the input was accepted')
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the report on lost requests."""
+"""Steps for the report on lost requests."""
 
 import pathlib
 
@@ -15,31 +15,31 @@
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
 
-@given('the gathered log of two daemons, {path}')
+@given('the collected log of two daemons, {path}')
 def step_log(context, path):
     context.log = ROOT / path
     context.lines = context.log.read_text().splitlines()
 
 
-@when('losses are told in windows of {window_s:g} s')
+@when('losses are reported in windows of {window_s:g} s')
 def step_windows(context, window_s):
-    span = _losses.Span(window_s=window_s)
+    time_range = _losses.TimeRange(window_s=window_s)
     try:
-        context.report = _losses.make_loss_report(context.lines, span)
+        context.report = _losses.make_loss_report(context.lines, time_range)
     except exceptions.SettingsError as error:
         context.error = error
 
 
-@when('losses are told from second {from_s:g} to second {until_s:g}')
+@when('losses are reported from second {from_s:g} to second {until_s:g}')
 def step_span(context, from_s, until_s):
-    span = _losses.Span(from_s, until_s)
-    context.report = _losses.make_loss_report(context.lines, span)
+    time_range = _losses.TimeRange(from_s, until_s)
+    context.report = _losses.make_loss_report(context.lines, time_range)
 
 
-@when('losses are told of the same lines without what is before them')
+@when('losses are reported for the same lines without their prefixes')
 def step_plain(context):
     lines = [line[max(0, line.find('{')) :] for line in context.lines]
-    context.report = _losses.make_loss_report(lines, _losses.Span())
+    context.report = _losses.make_loss_report(lines, _losses.TimeRange())
 
 
 @when('"sedgering losses" is run on the log')
@@ -81,7 +81,7 @@
 @then('its table has {count:d} rows and its JSON the same')
 def step_table(context, count):
     assert context.shown.exit_code == 0, context.shown.output
-    # Beside the head and the totals.
+    # Apart from the header and the line of totals.
     assert len(context.shown.output.splitlines()) == count + 2
     report = msgspec.json.decode(
         context.shown_json.output, type=_losses.LossReport
--- a/sedgering/cli/__init__.py
+++ b/sedgering/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs."""
+"""Command line programs."""
--- a/sedgering/cli/_burn.py
+++ b/sedgering/cli/_burn.py
@@ -1,4 +1,4 @@
-"""Report on service-level burn from two scrapes of the daemons' metrics."""
+"""Burn rate of the error budget between two scrapes of daemon metrics."""
 
 from collections.abc import Iterator
 import pathlib
@@ -8,33 +8,39 @@
 
 from sedgering import exceptions
 
-__all__ = ['BurnReport', 'make_burn_report', 'read_scrapes', 'show_report']
-
-REQUESTS = 'sedgering_requests_total'
-BUCKETS = 'sedgering_answer_seconds_bucket'
-#: Statuses from which on an answer of a target counts as failed.
-FAILED_FROM = 500
+__all__ = [
+    'BurnReport',
+    'format_burn_report',
+    'make_burn_report',
+    'read_scrapes',
+]
+
+REQUESTS_METRIC = 'sedgering_requests_total'
+LATENCY_BUCKETS_METRIC = 'sedgering_answer_seconds_bucket'
+#: Lowest HTTP status that counts as a failure of the target.
+MIN_FAILURE_STATUS = 500
 MS_PER_S = 1000
 
-#: Value by sample name and labels.
+#: Values of samples by name and sorted labels.
 Samples = dict[tuple[str, tuple], float]
 
 
 class BurnReport(msgspec.Struct):
-    """How requests ended between two scrapes.
+    """Number of requests by outcome between two scrapes.
 
     Parameters
     ----------
     objective : float
-        Share of requests that are to be good, 0 to 1.
+        Service-level objective: share of requests that must be good, 0 to 1.
     good : float
-        Answered without failure within the goal.  Latencies are counted
-        over all answers, so that failures are taken as spread alike.
+        Requests answered without a failure within the latency goal.  The
+        latency histogram covers all answers, so failures are assumed to have
+        the same latency distribution as other answers.
     late, failed, refused : float
-        Answered after the goal, answered with a failure of the target's,
-        and answered by a daemon itself.
+        Requests answered after the latency goal, answered with a failure by
+        the target, and refused by a daemon.
     refusals : dict of str to float
-        Refused requests by code.
+        Refused requests by error code.
     """
 
     objective: float
@@ -46,39 +52,41 @@
 
     @property
     def total(self) -> float:
-        """All requests."""
+        """Number of requests."""
         return self.good + self.late + self.failed + self.refused
 
     @property
     def bad_share(self) -> float:
-        """Share of requests that were not good; 0 without requests."""
+        """Share of requests that were not good; 0 if there were none."""
         return 1 - self.good / self.total if self.total else 0.0
 
     @property
     def burn_rate(self) -> float:
-        """Bad share as a multiple of what the objective allows."""
+        """Bad share as a multiple of the share that the objective allows."""
         return self.bad_share / (1 - self.objective)
 
 
 def read_scrapes(folder: pathlib.Path) -> dict[str, Samples]:
-    """Read one scrape of each host: files named by host.
+    """Read one scrape of each host from the files ``HOST.txt`` of a folder.
 
     Raises
     ------
     SettingsError
-        When there is none, or one is no text exposition.
+        If there are no such files, or one is not in the Prometheus text
+        format.
     """
     scrapes = {}
     for path in sorted(folder.glob('*.txt')):
         try:
-            scrapes[path.stem] = _parse(path.read_text())
+            scrapes[path.stem] = _parse_scrape(path.read_text())
         except (OSError, ValueError) as error:
             raise exceptions.SettingsError(
                 exceptions.Code.SETTINGS_UNREADABLE, f'{path}: {error}'
             ) from error
     if not scrapes:
         raise exceptions.SettingsError(
-            exceptions.Code.SETTINGS_UNREADABLE, f'{folder}: no *.txt'
+            exceptions.Code.SETTINGS_UNREADABLE,
+            f'{folder}: contains no *.txt files',
         )
     return scrapes
 
@@ -89,37 +97,39 @@
     goal_ms: int,
     objective: float,
 ) -> BurnReport:
-    """Make the report of what happened between two scrapes.
+    """Make the report on the time between two scrapes.
 
     Parameters
     ----------
     before, after : dict
-        Samples of each host.  A host that is missing before, or whose
-        counters went back, has started since.
+        Samples of each host.  A host that is missing in `before`, or whose
+        counters have decreased, was started between the scrapes.
     goal_ms : int
-        Latency goal; one of the bounds of the histogram.
+        Latency goal in milliseconds; one of the bucket bounds of the
+        histogram.
     objective : float
-        Share of requests that are to be good, 0 to 1.
+        Share of requests that must be good: at least 0, less than 1.
 
     Raises
     ------
     SettingsError
-        When the goal is no bound of the histogram, or the objective is
-        not between 0 and 1.
+        If the goal is not a bucket bound of the histogram, or the objective
+        is out of range.
     """
     if not 0 <= objective < 1:
         raise exceptions.SettingsError(
-            exceptions.Code.SETTINGS_RANGE, f'objective {objective}'
+            exceptions.Code.SETTINGS_RANGE,
+            f'objective {objective} is not in [0, 1)',
         )
     report = BurnReport(objective)
     for host, samples in after.items():
-        grown = _subtract(samples, before.get(host, {}))
-        _add_host(report, grown, goal_ms)
+        increase = _compute_increase(samples, before.get(host, {}))
+        _add_host_counts(report, increase, goal_ms)
     return report
 
 
-def show_report(report: BurnReport) -> Iterator[str]:
-    """Make the lines that operators read."""
+def format_burn_report(report: BurnReport) -> Iterator[str]:
+    """Format a report as lines of text."""
     yield (
         f'{report.total:.0f} requests: {report.good:.0f} good, '
         f'{report.late:.0f} late, {report.failed:.0f} failed, '
@@ -135,7 +145,7 @@
         yield f'    SDG-{code} {count:.0f}: {texts.get(code, "unknown")}'
 
 
-def _parse(text: str) -> Samples:
+def _parse_scrape(text: str) -> Samples:
     return {
         (sample.name, tuple(sorted(sample.labels.items()))): sample.value
         for family in parser.text_string_to_metric_families(text)
@@ -143,43 +153,45 @@
     }
 
 
-def _subtract(after: Samples, before: Samples) -> Samples:
-    """Return the growth; from zero where the daemon was started anew."""
-    is_new = any(
+def _compute_increase(after: Samples, before: Samples) -> Samples:
+    """Return the increase of each sample; a restart resets counters to 0."""
+    is_restarted = any(
         value < before.get(key, 0.0)
         for key, value in after.items()
-        if key[0] in (REQUESTS, BUCKETS)
+        if key[0] in (REQUESTS_METRIC, LATENCY_BUCKETS_METRIC)
     )
-    if is_new:
+    if is_restarted:
         return after
     return {key: value - before.get(key, 0.0) for key, value in after.items()}
 
 
-def _add_host(report: BurnReport, grown: Samples, goal_ms: int) -> None:
+def _add_host_counts(
+    report: BurnReport, increase: Samples, goal_ms: int
+) -> None:
     answered = 0.0
-    for (name, labels), value in grown.items():
+    for (name, labels), value in increase.items():
         fields = dict(labels)
-        if name != REQUESTS:
+        if name != REQUESTS_METRIC:
             continue
         if fields['kind'] == 'refused':
             report.refused += value
             code = fields['label']
             report.refusals[code] = report.refusals.get(code, 0.0) + value
         elif fields['kind'] == 'answered':
-            if int(fields['label']) >= FAILED_FROM:
+            if int(fields['label']) >= MIN_FAILURE_STATUS:
                 report.failed += value
             else:
                 answered += value
-    share = _find_share_in_time(grown, goal_ms)
+    share = _compute_share_within_goal(increase, goal_ms)
     report.good += answered * share
     report.late += answered * (1 - share)
 
 
-def _find_share_in_time(grown: Samples, goal_ms: int) -> float:
+def _compute_share_within_goal(increase: Samples, goal_ms: int) -> float:
     buckets = {
         float(dict(labels)['le']): value
-        for (name, labels), value in grown.items()
-        if name == BUCKETS
+        for (name, labels), value in increase.items()
+        if name == LATENCY_BUCKETS_METRIC
     }
     goal_s = goal_ms / MS_PER_S
     if goal_s not in buckets:
@@ -188,7 +200,7 @@
         )
         raise exceptions.SettingsError(
             exceptions.Code.SETTINGS_RANGE,
-            f'goal {goal_ms} ms; the histogram has {bounds}',
+            f'goal {goal_ms} ms is not one of the histogram bounds {bounds}',
         )
     total = buckets[float('inf')]
     return buckets[goal_s] / total if total else 1.0
--- a/sedgering/cli/_common.py
+++ b/sedgering/cli/_common.py
@@ -1,4 +1,4 @@
-"""What the programs share: how errors end them."""
+"""Error handling and exit statuses shared by the programs."""
 
 from collections.abc import Callable
 import sys
@@ -13,26 +13,28 @@
 
 
 def run_program(program: Callable[[], None]) -> None:
-    """Run a program; an error ends it with one line and a status.
+    """Run a program; errors are printed in one line and set the exit status.
 
     Parameters
     ----------
     program : callable
-        A typer application.
+        A Typer application.
 
     Notes
     -----
-    Settings that are refused end with status 2, as wrong arguments do;
-    everything else ends with status 1.
+    Invalid settings exit with status 2, like invalid arguments; all other
+    errors of this package exit with status 1.
     """
     try:
         program()
     except exceptions.SettingsError as error:
-        _exit(error, EXIT_USAGE)
+        _exit_with_error(error, EXIT_USAGE)
     except exceptions.SedgeringError as error:
-        _exit(error, EXIT_FAILED)
+        _exit_with_error(error, EXIT_FAILED)
 
 
-def _exit(error: exceptions.SedgeringError, status: int) -> NoReturn:
+def _exit_with_error(
+    error: exceptions.SedgeringError, status: int
+) -> NoReturn:
     print(error, file=sys.stderr)
     raise SystemExit(status)
--- a/sedgering/cli/_diff.py
+++ b/sedgering/cli/_diff.py
@@ -1,4 +1,4 @@
-"""Differences between two bundles, as lines to read."""
+"""Text descriptions of the differences between two bundles."""
 
 from collections.abc import Iterator
 
@@ -8,21 +8,21 @@
 
 __all__ = ['describe_changes']
 
-_KINDS = ('policies', 'target_sets', 'routes', 'workspaces')
+_OBJECT_KINDS = ('policies', 'target_sets', 'routes', 'workspaces')
 
 
 def describe_changes(
     old: bundles.Bundle, new: bundles.Bundle
 ) -> Iterator[str]:
-    """Describe what changes from one bundle to another.
+    """Describe the changes from one bundle to another.
 
     Yields
     ------
     str
-        `+` for objects that come, `-` for those that go, and for those
-        that stay, `~` with each field that changes.
+        One line for each change: `+` for an added object, `-` for a removed
+        one, and `~` for a changed field of an object.
     """
-    for kind in _KINDS:
+    for kind in _OBJECT_KINDS:
         before = {item.name: item for item in getattr(old, kind)}
         after = {item.name: item for item in getattr(new, kind)}
         for name in sorted(before.keys() | after.keys()):
@@ -33,10 +33,12 @@
                 yield f'+ {path}'
             else:
                 yield from _describe_fields(path, before[name], after[name])
-    yield from _describe_keyed(set(old.keyed_routes), set(new.keyed_routes))
+    yield from _describe_keyed_routes(
+        set(old.keyed_routes), set(new.keyed_routes)
+    )
 
 
-def _describe_keyed(before: set[str], after: set[str]) -> Iterator[str]:
+def _describe_keyed_routes(before: set[str], after: set[str]) -> Iterator[str]:
     for name in sorted(before ^ after):
         yield f'{"+" if name in after else "-"} keyed_routes.{name}'
 
@@ -48,8 +50,8 @@
         old = getattr(before, field)
         new = getattr(after, field)
         if old != new:
-            yield f'~ {path}.{field}: {_show(old)} -> {_show(new)}'
+            yield f'~ {path}.{field}: {_to_json(old)} -> {_to_json(new)}'
 
 
-def _show(value) -> str:
+def _to_json(value) -> str:
     return msgspec.json.encode(value).decode()
--- a/sedgering/cli/_experiment.py
+++ b/sedgering/cli/_experiment.py
@@ -1,4 +1,4 @@
-"""Plays load patterns over several seeds, and shows how callers fared."""
+"""Simulation of load patterns with several seeds, and its results."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -11,28 +11,32 @@
 
 __all__ = ['ExperimentRow', 'run_experiment', 'show_experiment']
 
-COLUMNS = (
+HEADER = (
     f'{"load":24} {"callers":16} {"in goal":>8} {"late":>8} {"refused":>8}'
 )
 
 
 class ExperimentRow(msgspec.Struct, frozen=True):
-    """One kind of callers of one load, over all seeds.
+    """Results of one kind of callers of one load, over all seeds.
 
     Parameters
     ----------
     load, callers : str
-        Names.
+        Names of the load pattern and of the kind of callers.
     worth_share : float
-        Median of the worth of the whole load.
+        Median over the seeds of the share of the worth of the whole load
+        that was achieved.
     in_goal_share, late_share, refused_share : float
-        Medians of the shares of the callers of this kind.
+        Medians of the shares of the requests of these callers that were
+        answered within the latency goal, answered late, and refused.
     in_goal_spread : float
-        Largest less smallest share within the goal.
+        Difference between the largest and the smallest share within the
+        goal.
     ends : int
-        Median of the targets that ended.
+        Median number of targets that crashed or ended otherwise.
     far_bytes_share : float
-        Median share of the bytes of answers that crossed data centres.
+        Median share of the bytes of answers that came from another data
+        centre.
     """
 
     load: str
@@ -49,22 +53,33 @@
 def run_experiment(
     paths: Iterable[pathlib.Path], seeds: int
 ) -> Iterator[ExperimentRow]:
-    """Play each load once for each seed.
+    """Simulate each load once for each seed.
+
+    Parameters
+    ----------
+    paths : iterable of Path
+        YAML files of load patterns.
+    seeds : int
+        Number of simulations of each load; the seeds are 0 to `seeds` - 1.
 
     Raises
     ------
     SettingsError
-        When a load pattern is malformed.
+        If a load pattern is malformed.
     """
     loads = [model.load_pattern(path) for path in paths]
     for load in loads:
         results = [model.play(load, seed) for seed in range(seeds)]
-        worth = statistics.median(item.worth_share for item in results)
+        worth = statistics.median(result.worth_share for result in results)
         for kind in load.callers:
-            found = [item.kinds[kind.name] for item in results]
-            in_goal = [item.in_goal / max(1, item.asked) for item in found]
-            late = [item.late / max(1, item.asked) for item in found]
-            refused = [item.refused / max(1, item.asked) for item in found]
+            kind_results = [result.kinds[kind.name] for result in results]
+            in_goal = [
+                item.in_goal / max(1, item.asked) for item in kind_results
+            ]
+            late = [item.late / max(1, item.asked) for item in kind_results]
+            refused = [
+                item.refused / max(1, item.asked) for item in kind_results
+            ]
             yield ExperimentRow(
                 load.name,
                 kind.name,
@@ -73,14 +88,16 @@
                 statistics.median(late),
                 statistics.median(refused),
                 max(in_goal) - min(in_goal),
-                round(statistics.median(item.ends for item in results)),
-                statistics.median(item.far_bytes_share for item in results),
+                round(statistics.median(result.ends for result in results)),
+                statistics.median(
+                    result.far_bytes_share for result in results
+                ),
             )
 
 
 def show_experiment(rows: Iterable[ExperimentRow]) -> Iterator[str]:
-    """Make the lines of a table."""
-    yield f'{COLUMNS} {"spread":>8} {"worth":>8} {"ended":>6} {"far":>6}'
+    """Format the rows as the lines of a table, with a header."""
+    yield f'{HEADER} {"spread":>8} {"worth":>8} {"ended":>6} {"far":>6}'
     for row in rows:
         yield (
             f'{row.load:24} {row.callers:16} {row.in_goal_share:8.3f} '
--- a/sedgering/cli/_explain.py
+++ b/sedgering/cli/_explain.py
@@ -1,4 +1,4 @@
-"""Finds in logs what happened to a request, or on a host."""
+"""Extraction of the log records about a request or a host."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -9,22 +9,23 @@
 
 __all__ = ['explain_host', 'explain_request', 'read_records']
 
-#: Fields that every line has; the others are shown.
-_COMMON = frozenset(
+#: Fields that every record has; only the other fields are listed.
+_COMMON_FIELDS = frozenset(
     ('time', 'level', 'logger', 'message', 'host', 'data_centre')
 )
-_CODES = {int(code): code for code in exceptions.Code}
-#: Messages about single requests.
-_ABOUT_REQUESTS = ('request ', 'attempt ')
+_CODES_BY_NUMBER = {int(code): code for code in exceptions.Code}
+#: Prefixes of the messages about a single request.
+_REQUEST_PREFIXES = ('request ', 'attempt ')
 
 
 def read_records(lines: Iterable[str]) -> Iterator[dict]:
-    """Decode log lines; what stands before the brace is left out.
+    """Decode log lines, ignoring any prefix before the JSON object.
 
     Parameters
     ----------
     lines : iterable of str
-        Of one or several daemons; lines that are no JSON are passed over.
+        Log lines of one or more daemons; lines without a JSON record are
+        skipped.
     """
     for line in lines:
         start = line.find('{"time"')
@@ -33,57 +34,73 @@
         try:
             yield msgspec.json.decode(line[start:])
         except msgspec.DecodeError:
-            # Cut by whatever collected the logs.
+            # The log collector may have truncated the line.
             continue
 
 
 def explain_request(records: Iterable[dict], request_id: str) -> Iterator[str]:
-    """Tell the decisions on a request and on the calls made for it.
+    """Describe the decisions on a request and on the calls made for it.
 
     Parameters
     ----------
     records : iterable of dict
         Decoded log lines.
     request_id : str
-        As the caller sent it.
+        Request id, as sent by the caller.
+
+    Yields
+    ------
+    str
+        One line for each record, in order of time, and the meaning of its
+        error code.
     """
-    found = [record for record in records if _names(record, request_id)]
-    if not found:
+    matching = [
+        record for record in records if _is_about_request(record, request_id)
+    ]
+    if not matching:
         yield (
-            f'{request_id}: no line; a plain success is logged once in a '
-            'hundred, a line over the limit is counted as dropped'
+            f'{request_id}: no log line; only one in a hundred plain '
+            'successes is logged, and lines over the rate limit are dropped '
+            'and counted'
         )
         return
-    for record in sorted(found, key=lambda item: item['time']):
-        yield _format(record)
-        code = _CODES.get(record.get('code'))
+    for record in sorted(matching, key=lambda item: item['time']):
+        yield _format_record(record)
+        code = _CODES_BY_NUMBER.get(record.get('code'))
         if code is not None:
             yield f'    SDG-{int(code)}: {code.text}'
 
 
 def explain_host(records: Iterable[dict], host: str) -> Iterator[str]:
-    """Tell what a host believed: its own lines, and others' about it."""
-    found = [
+    """Describe what a host logged, and what its peers logged about it.
+
+    Yields
+    ------
+    str
+        One line for each record that the host wrote or that names it as a
+        peer, in order of time, without those about single requests.
+    """
+    matching = [
         record
         for record in records
         if host in (record.get('host'), record.get('peer'))
-        and not record['message'].startswith(_ABOUT_REQUESTS)
+        and not record['message'].startswith(_REQUEST_PREFIXES)
     ]
-    for record in sorted(found, key=lambda item: item['time']):
-        yield _format(record)
+    for record in sorted(matching, key=lambda item: item['time']):
+        yield _format_record(record)
 
 
-def _names(record: dict, request_id: str) -> bool:
-    """Say whether a line is about a request, alone or among others."""
-    is_alone = record.get('request_id') == request_id
-    return is_alone or request_id in record.get('request_ids', ())
+def _is_about_request(record: dict, request_id: str) -> bool:
+    """Return whether a record names a request, alone or among others."""
+    is_sole_request = record.get('request_id') == request_id
+    return is_sole_request or request_id in record.get('request_ids', ())
 
 
-def _format(record: dict) -> str:
+def _format_record(record: dict) -> str:
     fields = [
         f'{name}={value}'
         for name, value in record.items()
-        if name not in _COMMON and value not in ('', [])
+        if name not in _COMMON_FIELDS and value not in ('', [])
     ]
     head = f'{record["time"]} {record.get("host", "")} {record["message"]}'
     return f'{head}: {" ".join(fields)}' if fields else head
--- a/sedgering/cli/_host.py
+++ b/sedgering/cli/_host.py
@@ -1,4 +1,4 @@
-"""Runs the daemon of a host: what its two programs share."""
+"""Startup of the daemon of a host, shared by its two programs."""
 
 import pathlib
 import sys
@@ -15,23 +15,24 @@
 def run_host(
     config: str = '',
     log_level: str = 'INFO',
-    opened: ports.OpenPorts | None = None,
+    open_ports: ports.OpenPorts | None = None,
 ) -> None:
     """Run the daemon until SIGTERM or SIGINT, then leave gracefully.
 
     Parameters
     ----------
     config : str
-        Path of YAML settings of the request path; empty for the defaults.
+        Path of a YAML file with the settings of the request path; empty for
+        the defaults.
     log_level : str
-        Least level that is logged.
-    opened : OpenPorts or None
-        Ports that listen already.
+        Lowest level that is logged.
+    open_ports : OpenPorts or None
+        Ports that are already listening.
 
     Raises
     ------
     SettingsError
-        When settings are refused.
+        If the settings are invalid.
     """
     mesh_settings = mesh.MeshSettings()
     if config:
@@ -46,5 +47,5 @@
         data_centre=host_settings.identity.data_centre,
     )
     platform.run_daemon(
-        host_settings, mesh_settings, opened or ports.OpenPorts()
+        host_settings, mesh_settings, open_ports or ports.OpenPorts()
     )
--- a/sedgering/cli/_losses.py
+++ b/sedgering/cli/_losses.py
@@ -1,4 +1,4 @@
-"""Tells from the daemons' logs where requests were lost."""
+"""Report on lost requests from the logs of the daemons."""
 
 import collections
 from collections.abc import Iterable
@@ -16,24 +16,25 @@
     'Hop',
     'LossReport',
     'LossRow',
-    'Span',
+    'TimeRange',
+    'format_loss_report',
     'make_loss_report',
-    'show_losses',
 ]
 
-#: Time and host before the line of a daemon, where its log is kept with those
-#: of others; the time is in seconds from a moment that all share.
-_STAMP = re.compile(r'\s*(-?\d+(?:\.\d+)?)\s')
-#: Lines of an answer that is not that of a target.
+#: Prefix of a line in a log collected from several daemons: a time in seconds
+#: since an origin common to all of them, then the host.
+_TIME_PREFIX = re.compile(r'\s*(-?\d+(?:\.\d+)?)\s')
+#: Messages about requests that a daemon answered in place of a target.
 _REFUSED_MESSAGES = frozenset(
     ('request refused', 'request rejected at the source')
 )
 _ANSWERED_MESSAGE = 'request answered'
-#: Statuses from which on an answer of a target counts as lost.
-FAILED_FROM = 500
-#: Requests that may be under way as they end are told so by this mark.
-AWAITED = 'awaited'
-_COLUMNS = (
+#: Lowest HTTP status of a target that counts as a lost request.
+MIN_FAILURE_STATUS = 500
+#: Reason reported for a request whose attempts were still awaiting answers,
+#: so that it may have been running when it ended.
+AWAITED_REASON = 'awaited'
+_HEADER = (
     f'{"from s":>8} {"lost":>6} {"code":>10} {"tries":>5} {"hop":8}'
     f' {"reason":16} route'
 )
@@ -42,45 +43,46 @@
 
 
 class Hop(enum.Enum):
-    """Where a request was when it was lost."""
+    """Where a request was lost."""
 
-    #: At the daemon of its caller, which asked nobody.
+    #: At the daemon of its caller, which made no attempt.
     CALLER = 'caller'
-    #: Between the two daemons.
-    WAY = 'way'
-    #: At the daemon beside a target.
-    GATE = 'gate'
+    #: On the network between the two daemons.
+    NETWORK = 'way'
+    #: At the daemon on the host of a target.
+    TARGET_DAEMON = 'gate'
     #: At a target.
     TARGET = 'target'
 
 
-_WAY_REASONS = frozenset(
+_NETWORK_REASONS = frozenset(
     (_Reason.UNREACHABLE.value, _Reason.CONNECTION_LOST.value)
 )
 _TARGET_REASONS = frozenset(
-    (_Reason.TARGET_REFUSED.value, _Reason.DAMAGED.value, AWAITED)
+    (_Reason.TARGET_REFUSED.value, _Reason.DAMAGED.value, AWAITED_REASON)
 )
 
 
 class LossRow(msgspec.Struct, frozen=True, order=True):
-    """Requests that were lost alike.
+    """Number of requests lost in the same window and in the same way.
 
     Parameters
     ----------
     from_s : float
-        Start of the time window in which they ended.
+        Start of the time window in which the requests ended, in seconds.
     route : str
-        That they matched; empty where they matched none.
+        Name of the route that they matched; empty if none.
     code : str
-        Numbered code of the daemon, or status of the target.
+        Error code of the daemon, or HTTP status of the target.
     reason : str
-        Last reason that a daemon was told; `awaited` where an answer was.
+        Last refusal reason that the caller's daemon received; `awaited` if
+        attempts were still awaiting an answer.
     attempts : int
-        Hosts asked.
-    hop : Hop
-        Where they were lost.
+        Number of hosts asked for each request.
+    hop : str
+        Where they were lost: a value of :class:`Hop`.
     requests : int
-        How many.
+        Number of requests.
     """
 
     from_s: float
@@ -93,16 +95,17 @@
 
 
 class LossReport(msgspec.Struct, frozen=True):
-    """What was lost in a span of time.
+    """Requests lost in a time range.
 
     Parameters
     ----------
     rows : list of LossRow
-        By window, then most requests first.
+        Sorted by window, then by descending number of requests.
     requests : int
-        All of them.
+        Total number of lost requests.
     dropped_lines : int
-        Lines that the daemons had no room for; each may have been a loss.
+        Number of log lines that daemons dropped over their rate limit; each
+        may have recorded a loss.
     """
 
     rows: list[LossRow]
@@ -110,56 +113,59 @@
     dropped_lines: int
 
 
-class Span(msgspec.Struct, frozen=True):
-    """The time that is looked at.
+class TimeRange(msgspec.Struct, frozen=True):
+    """Time range of a report.
 
     Parameters
     ----------
     from_s, until_s : float
-        First moment, and the one that is left out.
+        Start (inclusive) and end (exclusive), in seconds.
     window_s : float
-        Length of the windows into which it is cut.
+        Length of the time windows of the report, in seconds.
     """
 
     from_s: float = float('-inf')
     until_s: float = float('inf')
     window_s: float = 5.0
 
-    def find_window_s(self, at_s: float) -> float | None:
-        """Return the start of a moment's window; None outside the span."""
+    def compute_window_start_s(self, at_s: float) -> float | None:
+        """Return the start of the window of a time; None if out of range."""
         if not self.from_s <= at_s < self.until_s:
             return None
         return at_s // self.window_s * self.window_s
 
 
-def make_loss_report(lines: Iterable[str], span: Span) -> LossReport:
-    """Make the report of a span.
+def make_loss_report(
+    lines: Iterable[str], time_range: TimeRange
+) -> LossReport:
+    """Make the report on a time range.
 
     Parameters
     ----------
     lines : iterable of str
-        Of daemons, in any order; other ones are left out.  Without a time
-        before them, seconds count from the first line.
-    span : Span
-        That is looked at.
+        Log lines of daemons, in any order; other lines are skipped.  For
+        lines without a time prefix, seconds count from the first such line.
+    time_range : TimeRange
+        Time range and length of the windows.
 
     Raises
     ------
     SettingsError
-        When windows have no length.
+        If the length of the windows is not positive.
     """
-    if span.window_s <= 0:
+    if time_range.window_s <= 0:
         raise exceptions.SettingsError(
-            exceptions.Code.SETTINGS_RANGE, f'window of {span.window_s} s'
+            exceptions.Code.SETTINGS_RANGE,
+            f'window of {time_range.window_s} s is not positive',
         )
     counts: collections.Counter[tuple] = collections.Counter()
     dropped_lines = 0
-    for at_s, fields in _read_lines(lines):
-        from_s = span.find_window_s(at_s)
+    for at_s, fields in _decode_lines(lines):
+        from_s = time_range.compute_window_start_s(at_s)
         if from_s is None:
             continue
         dropped_lines += fields.get('dropped_lines', 0)
-        loss = _find_loss(fields)
+        loss = _classify_line(fields)
         if loss is not None:
             counts[from_s, *loss] += 1
     rows = [LossRow(*key, count) for key, count in counts.items()]
@@ -167,9 +173,9 @@
     return LossReport(rows, counts.total(), dropped_lines)
 
 
-def show_losses(report: LossReport) -> Iterator[str]:
-    """Make the lines that operators read."""
-    yield _COLUMNS
+def format_loss_report(report: LossReport) -> Iterator[str]:
+    """Format a report as a table with a line of totals."""
+    yield _HEADER
     for row in report.rows:
         yield (
             f'{row.from_s:8.1f} {row.requests:6} {row.code:>10}'
@@ -182,47 +188,52 @@
     )
 
 
-def _read_lines(lines: Iterable[str]) -> Iterator[tuple[float, dict]]:
-    """Yield the time and the fields of each line of a daemon."""
-    first: datetime.datetime | None = None
+def _decode_lines(lines: Iterable[str]) -> Iterator[tuple[float, dict]]:
+    """Yield the time in seconds and the fields of each line of a daemon."""
+    first_written_at: datetime.datetime | None = None
     for line in lines:
         start = line.find('{')
         if start < 0:
             continue
         try:
             fields = msgspec.json.decode(line[start:])
-            moment = datetime.datetime.fromisoformat(fields['time'])
+            written_at = datetime.datetime.fromisoformat(fields['time'])
         except (msgspec.DecodeError, KeyError, TypeError, ValueError):
-            # Of another program, or cut.
+            # Written by another program, or truncated.
             continue
-        stamp = _STAMP.match(line[:start])
-        if stamp is not None:
-            yield float(stamp[1]), fields
+        time_prefix = _TIME_PREFIX.match(line[:start])
+        if time_prefix is not None:
+            yield float(time_prefix[1]), fields
             continue
-        first = first or moment
-        yield (moment - first).total_seconds(), fields
+        first_written_at = first_written_at or written_at
+        yield (written_at - first_written_at).total_seconds(), fields
 
 
-def _find_loss(fields: dict) -> tuple | None:
-    """Return route, code, reason, attempts and hop of a line's loss."""
+def _classify_line(fields: dict) -> tuple | None:
+    """Return the fields of the loss row of a log line, or None.
+
+    The fields are route, code, reason, number of attempts and hop.
+    """
     message = fields.get('message')
     route = fields.get('route', '')
     if message == _ANSWERED_MESSAGE:
         status = fields.get('status', 0)
-        if status < FAILED_FROM:
+        if status < MIN_FAILURE_STATUS:
             return None
         return route, f'status {status}', '', 1, Hop.TARGET.value
     if message not in _REFUSED_MESSAGES:
         return None
     attempts = len(fields.get('asked', ()))
-    reason = AWAITED if fields.get('attempts') else fields.get('reason', '')
-    hop = _find_hop(attempts, reason)
+    reason = (
+        AWAITED_REASON if fields.get('attempts') else fields.get('reason', '')
+    )
+    hop = _choose_hop(attempts, reason)
     return route, f'SDG-{fields["code"]}', reason, attempts, hop.value
 
 
-def _find_hop(attempts: int, reason: str) -> Hop:
+def _choose_hop(attempts: int, reason: str) -> Hop:
     if not attempts:
         return Hop.CALLER
-    if reason in _WAY_REASONS:
-        return Hop.WAY
-    return Hop.TARGET if reason in _TARGET_REASONS else Hop.GATE
+    if reason in _NETWORK_REASONS:
+        return Hop.NETWORK
+    return Hop.TARGET if reason in _TARGET_REASONS else Hop.TARGET_DAEMON
--- a/sedgering/cli/_notice.py
+++ b/sedgering/cli/_notice.py
@@ -1,4 +1,4 @@
-"""After a roll: wake the relays, whose contacts are in the table."""
+"""Notification of the relays after a roll."""
 
 from sedgering import exceptions
 from sedgering import peer
@@ -9,13 +9,22 @@
 
 
 def notify_relays(table: storage.TableStore, mesh: str, operator: str) -> int:
-    """Tell the contacts of all data centres that the head has changed.
+    """Notify the relays of all data centres that the head row has changed.
+
+    Parameters
+    ----------
+    table : TableStore
+        Store that contains the contact records of the relays.
+    mesh : str
+        Name of the mesh.
+    operator : str
+        Name of the operator, for logs only.
 
     Returns
     -------
     int
-        Number of notices sent; 0 when the contacts cannot be read, which
-        costs one poll interval of the relays and nothing else.
+        Number of notices sent; 0 if the contacts cannot be read.  A relay
+        without a notice finds the change at its next poll of the head row.
     """
     try:
         rows = table.scan(release.CONTACT_PREFIX)
--- a/sedgering/cli/daemon.py
+++ b/sedgering/cli/daemon.py
@@ -1,11 +1,11 @@
-"""The daemon as the platform starts it: ports first, then the rest.
+"""The daemon as the platform starts it: opens ports before loading the rest.
 
     python3 -S -m sedgering.cli.daemon [--config=FILE] [ADDRESS:PORT ...]
 
-After a loss of power every host starts this program at once, beside the
-target and everything else of the host.  So it loads little: `sedgering-mesh`
-is the same daemon with a full command line, whose library alone takes 60 ms
-of processor time.
+After a power failure all hosts start this program at the same time, while
+the target and all other programs of the host start too.  It therefore imports
+few modules.  `sedgering-mesh` is the same daemon with a full command line
+interface, whose library alone takes 60 ms of CPU time to import.
 """
 
 import gc
@@ -16,7 +16,7 @@
 __all__ = ['main']
 
 CONFIG_OPTION = '--config='
-#: As in `_common`, which is loaded once the ports are open.
+#: Same as in `_common`, which is imported only after the ports are open.
 EXIT_USAGE = 2
 USAGE = 'usage: sedgering.cli.daemon [--config=FILE] [ADDRESS:PORT ...]'
 
@@ -27,8 +27,9 @@
     Parameters
     ----------
     arguments : list of str
-        Ports that are opened at once, and where the YAML settings of the
-        request path are; without a file all have their defaults.
+        Ports to open immediately, as ``ADDRESS:PORT``, and optionally
+        ``--config=FILE`` with the YAML settings of the request path, which
+        have their defaults without it.
     """
     addresses = [item for item in arguments if not item.startswith('-')]
     options = [item for item in arguments if item.startswith('-')]
@@ -36,14 +37,16 @@
         print(USAGE, file=sys.stderr)
         raise SystemExit(EXIT_USAGE)
     try:
-        opened = ports.OpenPorts(addresses)
+        open_ports = ports.OpenPorts(addresses)
     except (OSError, ValueError) as error:
         print(f'{error}; {USAGE}', file=sys.stderr)
         raise SystemExit(EXIT_USAGE) from error
-    # Nothing here speaks TLS; without it a daemon takes 4 MB less.
+    # Prevents the import of `ssl`: the daemon does not use TLS, and takes 4 MB
+    # less memory without it.
     sys.modules.setdefault('ssl', None)
-    # What is loaded stays: to look for garbage in it takes a quarter of a
-    # start, and some of each later search.
+    # Imported modules are never freed.  Garbage collections during the
+    # imports would take a quarter of the startup time, and later collections
+    # would scan the modules again unless they are frozen.
     gc.disable()
     from sedgering.cli import _common
     from sedgering.cli import _host
@@ -51,7 +54,7 @@
     gc.freeze()
     gc.enable()
     path = options[-1].removeprefix(CONFIG_OPTION) if options else ''
-    _common.run_program(lambda: _host.run_host(path, opened=opened))
+    _common.run_program(lambda: _host.run_host(path, open_ports=open_ports))
 
 
 if __name__ == '__main__':
--- a/sedgering/cli/mesh.py
+++ b/sedgering/cli/mesh.py
@@ -1,4 +1,4 @@
-"""sedgering-mesh: the daemon of one host of the users' platform."""
+"""sedgering-mesh: the mesh daemon of one host."""
 
 import pathlib
 import sys
@@ -17,12 +17,15 @@
 def run(
     config: Annotated[
         pathlib.Path | None,
-        typer.Option(help='YAML settings of the request path.'),
+        typer.Option(help='YAML file with the settings of the request path.'),
     ] = None,
-    log_level: Annotated[str, typer.Option(help='Least level.')] = 'INFO',
+    log_level: Annotated[
+        str, typer.Option(help='Lowest level logged.')
+    ] = 'INFO',
 ) -> None:
     """Run the daemon until SIGTERM or SIGINT, then leave gracefully."""
-    # Nothing here speaks TLS; without it a daemon takes 4 MB less.
+    # Prevents the import of `ssl`: the daemon does not use TLS, and takes 4 MB
+    # less memory without it.
     sys.modules.setdefault('ssl', None)
     from sedgering.cli import _host
 
@@ -30,7 +33,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the program; the entry point of the installed script."""
     _common.run_program(app)
 
 
--- a/sedgering/cli/operator.py
+++ b/sedgering/cli/operator.py
@@ -1,4 +1,4 @@
-"""sedgering: what operators do to bundles."""
+"""sedgering: the command line interface for operators."""
 
 from collections.abc import Iterator
 import contextlib
@@ -37,45 +37,46 @@
     add_completion=True,
     pretty_exceptions_enable=False,
     no_args_is_help=True,
-    help='Check, sign off and roll bundles, and watch them arrive.',
+    help='Check, sign off and roll bundles, and watch their distribution.',
 )
 
 WATCH_INTERVAL_S = 0.2
-SETTLE_PAUSE_S = 0.2
+RETRY_PAUSE_S = 0.2
 MS_PER_DAY = 86_400_000
 
 Config = Annotated[
     pathlib.Path,
     typer.Option(
-        help='YAML settings of the operator.', envvar='SEDGERING_CONFIG'
+        help='YAML file with the settings of the operator.',
+        envvar='SEDGERING_CONFIG',
     ),
 ]
-BundleFile = Annotated[pathlib.Path, typer.Argument(help='YAML bundle.')]
+BundleFile = Annotated[pathlib.Path, typer.Argument(help='YAML bundle file.')]
 VersionArgument = Annotated[int, typer.Argument(help='Version.', min=1)]
 OperationOption = Annotated[
     str | None,
     typer.Option(
         '--operation-id',
-        help='Resume the operation of an earlier try whose outcome is '
-        'unknown.',
+        help='Id of an earlier operation whose outcome is unknown, to '
+        'resume it.',
     ),
 ]
-JsonOption = Annotated[bool, typer.Option('--json', help='JSON lines.')]
+JsonOption = Annotated[bool, typer.Option('--json', help='Print JSON lines.')]
 
 
 @app.command()
 def check(file: BundleFile) -> None:
-    """Validate a bundle file; asks no platform.
+    """Validate a bundle file without connecting to a platform.
 
     Example: sedgering check first.yaml
     """
-    content = bundles.load_bundle(file)
-    digest = bundles.compute_digest(bundles.encode_bundle(content))
+    bundle = bundles.load_bundle(file)
+    digest = bundles.compute_digest(bundles.encode_bundle(bundle))
     print(
-        f'ok: {len(content.routes)} routes, '
-        f'{len(content.target_sets)} target sets, '
-        f'{len(content.policies)} policies, '
-        f'{len(content.workspaces)} workspaces, sha256 {digest.hex()}'
+        f'ok: {len(bundle.routes)} routes, '
+        f'{len(bundle.target_sets)} target sets, '
+        f'{len(bundle.policies)} policies, '
+        f'{len(bundle.workspaces)} workspaces, sha256 {digest.hex()}'
     )
 
 
@@ -85,32 +86,32 @@
     config: Config,
     version: Annotated[
         int | None,
-        typer.Option(help='Version to compare with; rolled last if none.'),
+        typer.Option(help='Version to compare with; default: rolled last.'),
     ] = None,
 ) -> None:
-    """Show what a bundle file would change.
+    """Show the changes that a bundle file would make.
 
     Example: sedgering diff next.yaml --config operator.yaml
     """
-    content = bundles.load_bundle(file)
+    bundle = bundles.load_bundle(file)
     client = _make_client(config)[1]
-    compared = base.Version(version or client.read_head().version)
-    old = bundles.make_bundle(content.mesh)
-    if compared:
-        old = client.read_bundle(compared)
-    lines = list(_diff.describe_changes(old, content))
+    compared_version = base.Version(version or client.read_head().version)
+    old = bundles.make_bundle(bundle.mesh)
+    if compared_version:
+        old = client.read_bundle(compared_version)
+    lines = list(_diff.describe_changes(old, bundle))
     for line in lines:
         print(line)
     if not lines:
-        print(f'equal to version {compared}')
+        print(f'equal to version {compared_version}')
 
 
 @app.command('key-digest')
 def key_digest() -> None:
-    """Turn the API key on standard input into what a bundle file holds.
+    """Print the digest, for a bundle file, of the API key on standard input.
 
-    Not an argument: those stand in the shell's history and in lists of
-    processes.
+    The key is not an argument, because arguments appear in the shell history
+    and in process lists.
 
     Example: sedgering key-digest < key.txt
     """
@@ -119,47 +120,50 @@
 
 @app.command()
 def explain(
-    subject: Annotated[str, typer.Argument(help='Request id, or host.')],
+    subject: Annotated[str, typer.Argument(help='Request id, or host name.')],
     logs: Annotated[
         list[pathlib.Path] | None,
-        typer.Option('--log', help='Log file; standard input if none.'),
+        typer.Option('--log', help='Log file; default: standard input.'),
     ] = None,
     host: Annotated[
         bool, typer.Option('--host', help='The subject is a host.')
     ] = False,
 ) -> None:
-    """Show from logs what happened to a request, or on a host.
+    """Show the log records about a request or a host.
 
     Example: sedgering explain 9c41d07be2a35f68 --log hall-1.log
     """
-    tell = _explain.explain_host if host else _explain.explain_request
+    explain_subject = (
+        _explain.explain_host if host else _explain.explain_request
+    )
     with contextlib.ExitStack() as stack:
         files = [
             stack.enter_context(path.open(encoding='utf-8'))
             for path in logs or ()
         ] or [sys.stdin]
         records = _explain.read_records(itertools.chain(*files))
-        for line in tell(records, subject):
+        for line in explain_subject(records, subject):
             print(line)
 
 
 @app.command()
 def burn(
     before: Annotated[
-        pathlib.Path, typer.Argument(help='Folder of HOST.txt scrapes.')
+        pathlib.Path, typer.Argument(help='Folder of scrapes named HOST.txt.')
     ],
     after: Annotated[
-        pathlib.Path, typer.Argument(help='The same, some time later.')
+        pathlib.Path, typer.Argument(help='Folder of later scrapes.')
     ],
     goal_ms: Annotated[
         int, typer.Option(help='Latency goal, a bound of the histogram.')
     ] = 400,
     objective: Annotated[
-        float, typer.Option(help='Share of requests that are to be good.')
+        float,
+        typer.Option(help='Share of requests that must be good, 0 to 1.'),
     ] = 0.99,
     as_json: JsonOption = False,
 ) -> None:
-    """Report how much of the error budget was used between two scrapes.
+    """Report the burn rate of the error budget between two scrapes.
 
     Example: sedgering burn scrapes/1200 scrapes/1210 --goal-ms 400
     """
@@ -172,7 +176,7 @@
     if as_json:
         print(msgspec.json.encode(report).decode())
         return
-    for line in _burn.show_report(report):
+    for line in _burn.format_burn_report(report):
         print(line)
 
 
@@ -183,30 +187,31 @@
         typer.Argument(help='Logs of daemons.', exists=True, dir_okay=False),
     ],
     window_s: Annotated[
-        float, typer.Option(help='Length of a time window.')
+        float, typer.Option(help='Length of a time window, in seconds.')
     ] = 5.0,
     from_s: Annotated[
-        float, typer.Option(help='First second that is looked at.')
+        float, typer.Option(help='Start of the time range, in seconds.')
     ] = float('-inf'),
     until_s: Annotated[
-        float, typer.Option(help='First second that is left out.')
+        float,
+        typer.Option(help='End of the time range, in seconds, exclusive.'),
     ] = float('inf'),
     as_json: JsonOption = False,
 ) -> None:
-    """Tell where requests were lost, from the logs of daemons.
+    """Report from the logs of daemons where requests were lost.
 
     Example: sedgering losses host-1.log host-2.log --window-s 2
     """
-    span = _losses.Span(from_s, until_s, window_s)
-    report = _losses.make_loss_report(_read_all(logs), span)
+    time_range = _losses.TimeRange(from_s, until_s, window_s)
+    report = _losses.make_loss_report(_read_lines(logs), time_range)
     if as_json:
         print(msgspec.json.encode(report).decode())
         return
-    for line in _losses.show_losses(report):
+    for line in _losses.format_loss_report(report):
         print(line)
 
 
-def _read_all(paths: list[pathlib.Path]) -> Iterator[str]:
+def _read_lines(paths: list[pathlib.Path]) -> Iterator[str]:
     """Yield the lines of several files."""
     for path in paths:
         with path.open(encoding='utf-8', errors='replace') as lines:
@@ -217,34 +222,37 @@
 def sign_off(
     config: Config,
     file: Annotated[
-        pathlib.Path | None, typer.Argument(help='YAML bundle.')
+        pathlib.Path | None, typer.Argument(help='YAML bundle file.')
     ] = None,
     content_of: Annotated[
         int | None,
-        typer.Option(help='Take the content of this older version.', min=1),
+        typer.Option(help='Use the bundle of this older version.', min=1),
     ] = None,
     operation_id: OperationOption = None,
 ) -> None:
-    """Give a bundle the next version; it is not yet rolled.
+    """Sign off a bundle as the next version, without rolling it.
 
     Example: sedgering sign-off next.yaml --config operator.yaml
 
-    To undo, sign off older content as a new version:
+    To revert a change, sign off the bundle of an older version again:
     sedgering sign-off --content-of 3 --config operator.yaml
     """
-    own, client = _make_client(config)
+    operator_settings, client = _make_client(config)
     if (file is None) == (content_of is None):
-        raise typer.BadParameter('give either a file or --content-of')
+        raise typer.BadParameter(
+            'give either a file or --content-of, not both'
+        )
     if file is None:
-        content = client.read_bundle(base.Version(content_of))
+        bundle = client.read_bundle(base.Version(content_of))
     else:
-        content = bundles.load_bundle(file)
-    if content.mesh != own.mesh:
+        bundle = bundles.load_bundle(file)
+    if bundle.mesh != operator_settings.mesh:
         raise exceptions.BundleError(
-            exceptions.Code.BUNDLE_MESH, f'{content.mesh}, not {own.mesh}'
+            exceptions.Code.BUNDLE_MESH,
+            f'mesh {bundle.mesh}, expected {operator_settings.mesh}',
         )
     record = client.sign_off(
-        content, own.operator, _choose_operation_id(operation_id)
+        bundle, operator_settings.operator, _choose_operation_id(operation_id)
     )
     print(f'signed off version {record.version}')
 
@@ -255,17 +263,19 @@
     config: Config,
     operation_id: OperationOption = None,
 ) -> None:
-    """Make a signed-off version the one to be in force everywhere.
+    """Roll a signed-off version to all hosts.
 
     Example: sedgering roll 4 --config operator.yaml
     """
-    own, client = _make_client(config)
+    operator_settings, client = _make_client(config)
     record = client.roll(
         base.Version(version),
-        own.operator,
+        operator_settings.operator,
         _choose_operation_id(operation_id),
     )
-    _notice.notify_relays(client.table, own.mesh, own.operator)
+    _notice.notify_relays(
+        client.table, operator_settings.mesh, operator_settings.operator
+    )
     print(f'rolled version {record.version} over {record.from_version}')
 
 
@@ -273,52 +283,59 @@
 def watch(
     config: Config,
     version: Annotated[
-        int | None, typer.Option(help='Version; rolled last if none.')
+        int | None, typer.Option(help='Version; default: rolled last.')
     ] = None,
     timeout_s: Annotated[
-        float, typer.Option(help='Give up after this time.')
+        float, typer.Option(help='Time after which to give up, in seconds.')
     ] = 60.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Watch until every proxy holds a version.
+    """Watch until every proxy has a version or a later one in force.
 
-    Ends with status 0 when all hold it, with 1 when time runs out.
+    Exits with status 0 when all of them have it, and with 1 on a timeout.
 
     Example: sedgering watch --config operator.yaml
     """
-    own = settings.load_settings(config, settings.OperatorSettings)
-    store = platform.make_records_store(own.platform, random.Random())
+    operator_settings = settings.load_settings(
+        config, settings.OperatorSettings
+    )
+    store = platform.make_records_store(
+        operator_settings.platform, random.Random()
+    )
     deadline_s = time.monotonic() + timeout_s
-    shown = ''
+    last_line = ''
     while True:
-        progress, line = _look(store, as_json)
-        wanted = base.Version(version or progress.version)
-        if line != shown:
+        progress, line = _read_progress_line(store, as_json)
+        expected_version = base.Version(version or progress.version)
+        if line != last_line:
             print(line, flush=True)
-            shown = line
-        if wanted and release.check_complete(progress, wanted):
+            last_line = line
+        if expected_version and release.check_complete(
+            progress, expected_version
+        ):
             return
         if time.monotonic() > deadline_s:
             raise exceptions.ReleaseError(
-                exceptions.Code.RELEASE_INCOMPLETE, f'version {wanted}'
+                exceptions.Code.RELEASE_INCOMPLETE,
+                f'version {expected_version}',
             )
         time.sleep(WATCH_INTERVAL_S)
 
 
 @app.command()
 def status(config: Config, as_json: JsonOption = False) -> None:
-    """Show what is rolled, signed off and in force.
+    """Show which versions are rolled, signed off and in force.
 
     Example: sedgering status --config operator.yaml
     """
-    own, client = _make_client(config)
+    operator_settings, client = _make_client(config)
     head = client.read_head()
     progress = release.read_progress(client.table)
     if as_json:
         print(msgspec.json.encode((head, progress)).decode())
         return
     print(
-        f'mesh {own.mesh}: version {head.version} rolled, '
+        f'mesh {operator_settings.mesh}: version {head.version} rolled, '
         f'{head.latest_signed} signed off; last change by {head.changed_by}'
     )
     for line in _describe_progress(progress):
@@ -327,7 +344,7 @@
 
 @app.command()
 def history(config: Config, as_json: JsonOption = False) -> None:
-    """Show who signed off and rolled what, and when.
+    """Show all sign-offs and rolls, with their operators and times.
 
     Example: sedgering history --config operator.yaml
     """
@@ -355,16 +372,19 @@
 def collect(
     config: Config,
     older_than_days: Annotated[
-        int, typer.Option(help='Age of claims to remove.', min=1)
+        int,
+        typer.Option(
+            help='Minimum age of the claims to remove, in days.', min=1
+        ),
     ] = 7,
     limit: Annotated[
-        int, typer.Option(help='Most claims to look at.', min=1)
+        int, typer.Option(help='Maximum number of claims to read.', min=1)
     ] = 100_000,
 ) -> None:
     """Remove old idempotency claims, in bounded batches.
 
-    Repeats of a request older than that are no longer caught. Safe to run
-    twice at once, and again after an outage.
+    A repeat of a request whose claim was removed is no longer detected. It
+    is safe to run this command concurrently, and again after an outage.
 
     Example: sedgering collect --older-than-days 7 --config operator.yaml
     """
@@ -384,14 +404,17 @@
 @app.command()
 def experiment(
     loads: Annotated[
-        list[pathlib.Path], typer.Argument(help='YAML load patterns.')
+        list[pathlib.Path], typer.Argument(help='YAML files of load patterns.')
     ],
     seeds: Annotated[
-        int, typer.Option(help='Plays of each load.', min=1, max=1000)
+        int,
+        typer.Option(
+            help='Number of simulations of each load.', min=1, max=1000
+        ),
     ] = 3,
     as_json: JsonOption = False,
 ) -> None:
-    """Play load patterns against the daemon's decisions; asks no platform.
+    """Simulate load patterns with the decisions of the daemon, offline.
 
     Example: sedgering experiment examples/loads/burst.yaml --seeds 5
     """
@@ -406,27 +429,31 @@
 def _make_client(
     config: pathlib.Path,
 ) -> tuple[settings.OperatorSettings, release.ReleaseClient]:
-    own = settings.load_settings(config, settings.OperatorSettings)
-    store = platform.make_records_store(own.platform, random.Random())
+    operator_settings = settings.load_settings(
+        config, settings.OperatorSettings
+    )
+    store = platform.make_records_store(
+        operator_settings.platform, random.Random()
+    )
     client = release.ReleaseClient(
         store,
         store,
         wall_ms=clock.wall_ms,
-        pause=lambda attempt: time.sleep(SETTLE_PAUSE_S * attempt),
+        pause=lambda attempt: time.sleep(RETRY_PAUSE_S * attempt),
     )
-    return own, client
+    return operator_settings, client
 
 
-def _choose_operation_id(stated: str | None) -> base.OperationId:
-    if stated:
-        return base.OperationId(stated)
+def _choose_operation_id(given_id: str | None) -> base.OperationId:
+    if given_id:
+        return base.OperationId(given_id)
     return release.make_operation_id()
 
 
-def _look(
+def _read_progress_line(
     store: storage.TableStore, as_json: bool
 ) -> tuple[release.FleetProgress, str]:
-    """Read the progress and make the line that shows it."""
+    """Read the progress and format it as one line."""
     progress = release.read_progress(store)
     if as_json:
         return progress, msgspec.json.encode(progress).decode()
@@ -441,11 +468,11 @@
 
 def _describe_progress(progress: release.FleetProgress) -> Iterator[str]:
     for report in progress.data_centres:
-        exact = '' if report.is_exact else ', count settling'
+        count_suffix = '' if report.is_exact else ', count settling'
         yield (
             f'{report.data_centre}: {report.covered} of {report.members} '
             f'report, versions {report.lowest_version} to '
-            f'{report.highest_version}{exact}'
+            f'{report.highest_version}{count_suffix}'
         )
         for refusal in report.refusals:
             yield (
@@ -465,7 +492,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the program; the entry point of the installed script."""
     _common.run_program(app)
 
 
--- a/sedgering/cli/proxy.py
+++ b/sedgering/cli/proxy.py
@@ -1,4 +1,4 @@
-"""sedgering-proxy: the daemon of one host."""
+"""sedgering-proxy: the proxy daemon of one host."""
 
 import gc
 import pathlib
@@ -26,7 +26,8 @@
 @app.command()
 def run(
     config: Annotated[
-        pathlib.Path, typer.Option(help='YAML settings of this proxy.')
+        pathlib.Path,
+        typer.Option(help='YAML file with the settings of this proxy.'),
     ],
 ) -> None:
     """Run the proxy until SIGTERM or SIGINT, then leave gracefully."""
@@ -37,8 +38,8 @@
         data_centre=proxy_settings.data_centre,
     )
     stopping = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_arguments: stopping.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_arguments: stopping.set())
     daemon = proxy.make_daemon(
         proxy_settings,
         lambda: platform.make_records_store(
@@ -52,10 +53,12 @@
 
 
 def _tune_interpreter() -> None:
-    """Let threads take turns sooner, and keep modules out of collections.
+    """Shorten the thread switch interval and freeze loaded modules.
 
-    A request hands the interpreter over at each system call; waiting for
-    the default 5 ms behind a busy thread would be ten times its budget.
+    A thread that handles a request releases the global interpreter lock at
+    each system call.  With the default interval it could wait 5 ms for a
+    busy thread, which is ten times the time budget of a request.  Frozen
+    objects are not scanned by garbage collections.
     """
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     gc.collect()
@@ -63,7 +66,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the program; the entry point of the installed script."""
     _common.run_program(app)
 
 
--- a/sedgering/cli/replay.py
+++ b/sedgering/cli/replay.py
@@ -1,4 +1,4 @@
-"""sedgering-replay: replays recorded traces against stated outcomes."""
+"""sedgering-replay: replays recorded traces and checks their outcomes."""
 
 import pathlib
 from typing import Annotated
@@ -16,28 +16,28 @@
 @app.command()
 def replay(
     traces: Annotated[
-        list[pathlib.Path], typer.Argument(help='Files of JSON lines.')
+        list[pathlib.Path], typer.Argument(help='Trace files of JSON lines.')
     ],
 ) -> None:
-    """Replay traces; status 1 when any stated outcome differs.
+    """Replay traces; exit with status 1 if any outcome differs.
 
     Example: sedgering-replay features/traces/*.jsonl
     """
-    failed = 0
+    failed_traces = 0
     for path in traces:
         try:
-            steps = testing.replay_trace(path)
+            step_count = testing.replay_trace(path)
         except testing.OutcomeDiffers as error:
-            failed += 1
+            failed_traces += 1
             print(f'{path.name}: {error}')
         else:
-            print(f'{path.name}: ok, {steps} steps')
-    if failed:
+            print(f'{path.name}: ok, {step_count} steps')
+    if failed_traces:
         raise typer.Exit(_common.EXIT_FAILED)
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the program; the entry point of the installed script."""
     _common.run_program(app)
 
 
--- a/sedgering/cli/standin.py
+++ b/sedgering/cli/standin.py
@@ -1,4 +1,4 @@
-"""sedgering-standin: platform and targets for tests and the demo."""
+"""sedgering-standin: platform and target stand-ins for tests and the demo."""
 
 import pathlib
 import signal
@@ -18,7 +18,7 @@
 app = typer.Typer(
     add_completion=False,
     pretty_exceptions_enable=False,
-    help='Stand-ins for tests, the demo and measurement.',
+    help='Stand-ins for tests, the demo and benchmarks.',
 )
 
 DRAIN_GRACE_S = 4.0
@@ -29,7 +29,7 @@
     port: Annotated[int, typer.Option(help='Port to listen on.')],
     address: Annotated[str, typer.Option(help='IP number.')] = '127.0.0.1',
 ) -> None:
-    """Run the metadata store in memory."""
+    """Run an in-memory metadata store."""
     server = testing.StoreServer(address, port, testing.PlatformEngine())
     server.start()
     _wait_for_signal()
@@ -39,21 +39,23 @@
 @app.command()
 def targets(
     config: Annotated[
-        pathlib.Path, typer.Option(help='YAML list of targets.')
+        pathlib.Path, typer.Option(help='YAML file with a list of targets.')
     ],
 ) -> None:
-    """Run targets that announce themselves and keep ledgers."""
-    running = [testing.make_target(item) for item in _load_targets(config)]
-    for target in running:
+    """Run targets that register themselves and record each run in a ledger."""
+    running_targets = [
+        testing.make_target(item) for item in _load_targets(config)
+    ]
+    for target in running_targets:
         target.start()
     _wait_for_signal()
-    leaving = [
+    leave_threads = [
         threading.Thread(target=target.leave, args=(DRAIN_GRACE_S,))
-        for target in running
+        for target in running_targets
     ]
-    for thread in leaving:
+    for thread in leave_threads:
         thread.start()
-    for thread in leaving:
+    for thread in leave_threads:
         thread.join()
 
 
@@ -61,13 +63,13 @@
 def passthrough(
     port: Annotated[int, typer.Option(help='Port to listen on.')],
     target: Annotated[
-        list[int], typer.Option(help='Port of a target; repeat for more.')
+        list[int], typer.Option(help='Port of a target; may be repeated.')
     ],
     address: Annotated[str, typer.Option(help='IP number.')] = '127.0.0.1',
 ) -> None:
-    """Run the naive proxy: one attempt, round robin, no decisions."""
+    """Run a pass-through proxy: round robin, one attempt, no retries."""
     server = testing.make_passthrough(
-        address, port, [(address, number) for number in target]
+        address, port, [(address, target_port) for target_port in target]
     )
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
@@ -80,7 +82,7 @@
         return msgspec.convert(
             yaml.safe_load(path.read_text()),
             list[testing.TargetSettings],
-            dec_hook=lambda kind, value: kind(value),
+            dec_hook=lambda field_type, value: field_type(value),
         )
     except (OSError, yaml.YAMLError, msgspec.ValidationError) as error:
         raise exceptions.SettingsError(
@@ -90,13 +92,13 @@
 
 def _wait_for_signal() -> None:
     stopping = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_arguments: stopping.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_arguments: stopping.set())
     stopping.wait()
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the program; the entry point of the installed script."""
     _common.run_program(app)
 
 
