--- a/features/burn.feature
+++ b/features/burn.feature
@@ -14,7 +14,7 @@
 
   Scenario: Failures of targets count as bad
     When "hall-1" has answered 90 requests in 100 ms and 0 in 1000 ms
-    And "hall-1" has passed on 10 failures of targets
+    And "hall-1" has forwarded 10 failures of targets
     Then of 100 requests 90 are good, 0 late, 10 failed and 0 refused
 
   Scenario: Requests before the first scrape do not count
@@ -34,11 +34,11 @@
 
   Scenario Outline: Invalid input is refused
     When the report is made with <fault>
-    Then it is refused with code <code> as a setting
+    Then it is refused as an invalid setting with code <code>
 
     Examples:
-      | fault                    | code |
-      | a goal of 123 ms         | 1005 |
-      | an objective of 1        | 1005 |
-      | an empty folder          | 1001 |
-      | a scrape that is no text | 1001 |
+      | fault              | code |
+      | a goal of 123 ms   | 1005 |
+      | an objective of 1  | 1005 |
+      | an empty folder    | 1001 |
+      | a malformed scrape | 1001 |
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -27,7 +27,7 @@
 
   Scenario: The program prints a table, or the same as JSON
     When "sedgering losses" is run on the log
-    Then its table has 6 rows and its JSON the same
+    Then its table and its JSON have 6 rows each
 
   Scenario: Windows of length 0 are refused
     When losses are reported in windows of 0 s
--- a/features/steps/burn_steps.py
+++ b/features/steps/burn_steps.py
@@ -81,7 +81,7 @@
         context.burn.counts[host].count('refused', str(code))
 
 
-@when('"{host}" has passed on {count:d} failures of targets')
+@when('"{host}" has forwarded {count:d} failures of targets')
 def step_failed(context, host, count):
     context.burn.answer(host, count, 100, '500')
 
@@ -125,7 +125,7 @@
         (fixture.folder / 'after' / 'hall-1.txt').write_text('no { text')
 
 
-@then('it is refused with code {code:d} as a setting')
+@then('it is refused as an invalid setting with code {code:d}')
 def step_refused_setting(context, code):
     try:
         context.burn.report()
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -78,7 +78,7 @@
     assert context.report.rows[0].from_s == from_s, context.report
 
 
-@then('its table has {count:d} rows and its JSON the same')
+@then('its table and its JSON have {count:d} rows each')
 def step_table(context, count):
     assert context.shown.exit_code == 0, context.shown.output
     # Apart from the header and the line of totals.
--- a/sedgering/cli/_experiment.py
+++ b/sedgering/cli/_experiment.py
@@ -24,8 +24,8 @@
     load, callers : str
         Names of the load pattern and of the kind of callers.
     worth_share : float
-        Median over the seeds of the share of the worth of the whole load
-        that was achieved.
+        Median of the worth that answers achieved, less the losses, as a share
+        of the worth of all requests of the load.
     in_goal_share, late_share, refused_share : float
         Medians of the shares of the requests of these callers that were
         answered within the latency goal, answered late, and refused.
@@ -33,7 +33,7 @@
         Difference between the largest and the smallest share within the
         goal.
     ends : int
-        Median number of targets that crashed or ended otherwise.
+        Median number of targets that ended, for any cause.
     far_bytes_share : float
         Median share of the bytes of answers that came from another data
         centre.
--- a/sedgering/cli/operator.py
+++ b/sedgering/cli/operator.py
@@ -485,10 +485,10 @@
 
 
 def _format_time(wall_ms: int) -> str:
-    moment = datetime.datetime.fromtimestamp(
+    utc_time = datetime.datetime.fromtimestamp(
         wall_ms / 1000, datetime.timezone.utc
     )
-    return moment.isoformat(timespec='milliseconds')
+    return utc_time.isoformat(timespec='milliseconds')
 
 
 def main() -> None:
--- a/sedgering/cli/standin.py
+++ b/sedgering/cli/standin.py
@@ -27,7 +27,7 @@
 @app.command()
 def platform(
     port: Annotated[int, typer.Option(help='Port to listen on.')],
-    address: Annotated[str, typer.Option(help='IP number.')] = '127.0.0.1',
+    address: Annotated[str, typer.Option(help='IP address.')] = '127.0.0.1',
 ) -> None:
     """Run an in-memory metadata store."""
     server = testing.StoreServer(address, port, testing.PlatformEngine())
@@ -65,7 +65,7 @@
     target: Annotated[
         list[int], typer.Option(help='Port of a target; may be repeated.')
     ],
-    address: Annotated[str, typer.Option(help='IP number.')] = '127.0.0.1',
+    address: Annotated[str, typer.Option(help='IP address.')] = '127.0.0.1',
 ) -> None:
     """Run a pass-through proxy: round robin, one attempt, no retries."""
     server = testing.make_passthrough(
