--- a/features/days.feature
+++ b/features/days.feature
@@ -1,22 +1,22 @@
-Feature: The days that the bench also plays
-  deploy/days/ has days of our own, which are played on any site.  A file that
-  cannot be parsed, or that names what a day does not know, is left out there
-  without a word.
+Feature: Simulated days that the test bench runs
+  Each file in deploy/days/ describes a day: planned operations and faults that
+  the test bench can run on any site.  The bench silently skips a file that it
+  cannot parse or that contains an unknown name.
 
-  Scenario: The days are there
+  Scenario: The expected days exist
     Then the days are "deadly, releases-without-store, rolling-stops, targets-come-back"
 
-  Scenario: Each day has what a day needs, and nothing else
-    Then each day is named as its file, has a seed, plan and faults, and no more
+  Scenario: Each day has the required keys and no unknown ones
+    Then each day has the name of its file, a seed, a plan, faults and no other key
 
-  Scenario: Each entry is one that the bench knows, at a time of the day
-    Then each entry has a known kind, in its list, and known fields only
+  Scenario: Each entry has a kind and fields that the bench supports, and a valid time
+    Then each entry has a kind that its list allows and no unknown field
     And each time is within 30 s, each share above 0 and at most 1
 
-  Scenario: A day fits any site
-    Then zones, services and kinds of requests are the first ones of a site
+  Scenario: A day names no particular site
+    Then zones, services and request classes are placeholders for the first of a site
 
-  Scenario: The days have what they are named for
+  Scenario: Each day has the kinds of entries that its name implies
     Then "deadly" has the kinds "poison, scale_in"
     And "rolling-stops" has the kinds "burst, roll_term"
     And "targets-come-back" has the kinds "srv_crash, srv_flap"
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,108 +1,108 @@
-Feature: The soak
-  Seeded faults on real processes; docs/soak.md tells more.
+Feature: Randomized fault injection (soak)
+  The soak injects seeded faults into real processes; see docs/soak.md.
 
-  Scenario: The same seed makes the same plan
-    Then plans of 50 seeds are alike twice, and differ from others
-    And the plans that were there before links were throttled are unchanged
-    And plans have suspended hosts, and a request that ends targets, but for those without unplanned work
+  Scenario: A seed always gives the same plan
+    Then plans of 50 seeds are reproducible and differ from each other
+    And the plans of earlier releases are unchanged but for added faults
+    And plans with unplanned faults also have suspended hosts and a request that crashes targets
 
-  Scenario: Callers wait for answers that come too late
-    Given books in which nothing is wrong
-    Then each caller waits for longer than a request may be held
+  Scenario: Callers wait long enough to see overdue answers
+    Given soak results in which all is well
+    Then each caller waits until after a request is overdue
 
-  Scenario: Links are as narrow as they are throttled
-    Then a throttled link moves answers as slowly as it should
+  Scenario: A throttled link limits its rate
+    Then a throttled link forwards answers at its rate
 
-  Scenario Outline: A daemon that is told to leave ends by itself, in time
-    Given books in which nothing is wrong
-    When a daemon that <end> is told to leave within 2 s
-    Then the soak says that <finding>
+  Scenario Outline: A daemon must exit within its grace time after SIGTERM
+    Given soak results in which all is well
+    When a daemon that <end> gets SIGTERM and 2 s to exit
+    Then the soak reports <finding>
 
     Examples:
-      | end       | finding             |
-      | stays     | outstayed its grace |
-      | fails     | left with 1         |
-      | ends well | nothing is broken   |
+      | end          | finding                    |
+      | ignores it   | was killed after its grace |
+      | exits with 1 | exited with status 1       |
+      | exits with 0 | no violation               |
 
-  Scenario: A soak that stands still does not take that for a late end
-    Given books in which nothing is wrong
-    When a daemon that ends soon is told to leave within 0.6 s, while the soak stands still for 1 s
-    Then the soak says that nothing is broken
+  Scenario: A blocked soak does not mistake its own delay for a late exit
+    Given soak results in which all is well
+    When a daemon that exits soon gets SIGTERM and 0.6 s to exit, while the soak is blocked for 1 s
+    Then the soak reports no violation
 
-  Scenario Outline: Each promise that is broken is seen
-    Given books in which <deed>
-    Then the soak says that <finding>
+  Scenario Outline: Each violated guarantee is reported
+    Given soak results in which <change>
+    Then the soak reports <finding>
 
     Examples:
-      | deed                                            | finding                    |
-      | nothing is wrong                                | nothing is broken          |
-      | a request that may run once ran twice           | ran 2 times                |
-      | a request ran with a forged key                 | with a forged key          |
-      | a forged key was answered                       | was answered with a forged |
-      | a forged key was told 401                       | nothing is broken          |
-      | a key that is held was told 401                 | was told 401               |
-      | a request ran for another workspace             | ran for ['quay']           |
-      | a request ran for its workspace                 | nothing is broken          |
-      | a key came along to a target                    | its key came along         |
-      | a request ran that nobody sent                  | nobody asked for it        |
-      | a success is not the caller's own               | is not its own             |
-      | a request was told 503 and ran                  | was told 503, and ran      |
-      | a request with a route was told 404             | was told 404               |
-      | a request was held by a sound daemon            | beyond its deadline        |
-      | a request was lost beside planned work          | ended without answer       |
-      | a target that had left ran a request            | s late                     |
-      | a target worked on more than its slots          | worked on                  |
-      | a daemon went back to an older version          | lacks version              |
-      | a daemon served nobody after the last fault     | served nobody              |
-      | a daemon lacks the newest version               | of 2 in force              |
-      | a request reached 4 targets 3.1 s after 3 ends  | targets 4 times more       |
-      | a request reached 3 targets 3.1 s after 3 ends  | nothing is broken          |
-      | a request reached 9 targets 2.9 s after 3 ends  | nothing is broken          |
-      | a request reached 9 targets 3.1 s after 2 ends  | nothing is broken          |
+      | change                                            | finding                        |
+      | all is well                                       | no violation                   |
+      | a request that may run once ran twice             | ran 2 times                    |
+      | a request ran with a forged key                   | with a forged key              |
+      | a forged key was answered                         | was answered with a forged     |
+      | a forged key got 401                              | no violation                   |
+      | a valid key got 401                               | was answered with 401          |
+      | a request ran for another workspace               | ran for ['quay']               |
+      | a request ran for its workspace                   | no violation                   |
+      | an API key reached a target                       | its API key was forwarded      |
+      | a request ran that nobody sent                    | no caller sent it              |
+      | a success is not the caller's own                 | is not its own                 |
+      | a request got 503 and ran                         | was answered with 503, but ran |
+      | a request with a route got 404                    | was answered with 404          |
+      | a request was overdue at a healthy daemon         | after its deadline             |
+      | a request was lost during planned operations      | closed without an answer       |
+      | a target that had left ran a request              | s after its draining state     |
+      | a target worked on more than its slots            | requests at once               |
+      | a daemon went back to an older version            | lacks version                  |
+      | a daemon answered nobody after the last fault     | answered no request            |
+      | a daemon lacks the newest version                 | in force, expected 2           |
+      | a request reached 4 targets 3.1 s after 3 crashes | targets 4 more times           |
+      | a request reached 3 targets 3.1 s after 3 crashes | no violation                   |
+      | a request reached 9 targets 2.9 s after 3 crashes | no violation                   |
+      | a request reached 9 targets 3.1 s after 2 crashes | no violation                   |
 
-  Scenario Outline: Faults that explain an end are no findings
-    Given books in which a request was <end>
-    And <fault> then
-    Then the soak says that <finding>
+  Scenario Outline: Failures that a fault explains are not reported
+    Given soak results in which a request <end>
+    And <fault> at that time
+    Then the soak reports <finding>
 
     Examples:
-      | end                              | fault                          | finding              |
-      | held by a sound daemon           | its daemon was paused          | nothing is broken    |
-      | held by a sound daemon           | another daemon was paused      | beyond its deadline  |
-      | lost beside planned work         | another daemon was killed      | nothing is broken    |
-      | lost beside planned work         | its daemon was terminated      | ended without answer |
-      | lost beside planned work         | the store was away             | ended without answer |
-      | cut beside planned work          | the store was away             | was told 502         |
-      | cut beside planned work          | another daemon was killed      | nothing is broken    |
-      | lost beside planned work         | a link was narrow              | ended without answer |
-      | cut beside planned work          | a link was narrow              | was told 502         |
+      | end                                | fault                     | finding                  |
+      | was overdue at a healthy daemon    | its daemon was paused     | no violation             |
+      | was overdue at a healthy daemon    | another daemon was paused | after its deadline       |
+      | was lost during planned operations | another daemon was killed | no violation             |
+      | was lost during planned operations | its daemon was terminated | closed without an answer |
+      | was lost during planned operations | the store was away        | closed without an answer |
+      | got 502 during planned operations  | the store was away        | got 502 instead of       |
+      | got 502 during planned operations  | another daemon was killed | no violation             |
+      | was lost during planned operations | a link was throttled      | closed without an answer |
+      | got 502 during planned operations  | a link was throttled      | got 502 instead of       |
 
-  Scenario Outline: A leaving daemon answers what it took
-    Given books in which a <request>
-    And <fault> then
-    Then the soak says that <finding>
+  Scenario Outline: A draining daemon answers the requests it accepted
+    Given soak results in which a <request>
+    And <fault> at that time
+    Then the soak reports <finding>
 
     Examples:
-      | request                                       | fault                                                    | finding                     |
-      | request was cut that was sent before SIGTERM  | its daemon was terminated                                | 5.60 s after SIGTERM        |
-      | request was cut that was sent 2.9 s after     | its daemon was terminated                                | 5.60 s after SIGTERM        |
-      | request was cut that was sent 2.9 s after     | its daemon was terminated, and another daemon was killed | 5.60 s after SIGTERM        |
-      | request was cut that was sent 2.9 s after     | its daemon was terminated, and its daemon was killed     | nothing is broken           |
-      | request was cut that was sent 3.1 s after     | its daemon was terminated                                | ended without answer        |
-      | request was cut that was sent 3.1 s after     | its daemon was terminated, and another daemon was killed | nothing is broken           |
-      | request was cut that could still be read      | its daemon was terminated, and another daemon was killed | 5.60 s after SIGTERM        |
-      | request was cut that was read for too long    | its daemon was terminated                                | nothing is broken           |
-      | long request was told 502 and not answered    | another daemon was terminated                            | nothing is broken           |
-      | long request was told 502 and answered        | another daemon was terminated                            | was told 502 without answer |
-      | long request was told 502 and answered last   | another daemon was terminated                            | nothing is broken           |
-      | long request was told 502, answered elsewhere | another daemon was terminated                            | was told 502 without answer |
-      | long request was held                         | another daemon was terminated                            | beyond its deadline         |
-      | long request was read slowly                  | another daemon was terminated                            | nothing is broken           |
+      | request                                        | fault                                                    | finding                      |
+      | request sent before SIGTERM was cut off        | its daemon was terminated                                | 5.60 s after SIGTERM         |
+      | request sent 2.9 s after SIGTERM was cut off   | its daemon was terminated                                | 5.60 s after SIGTERM         |
+      | request sent 2.9 s after SIGTERM was cut off   | its daemon was terminated, and another daemon was killed | 5.60 s after SIGTERM         |
+      | request sent 2.9 s after SIGTERM was cut off   | its daemon was terminated, and its daemon was killed     | no violation                 |
+      | request sent 3.1 s after SIGTERM was cut off   | its daemon was terminated                                | closed without an answer     |
+      | request sent 3.1 s after SIGTERM was cut off   | its daemon was terminated, and another daemon was killed | no violation                 |
+      | request was cut off that could be read in time | its daemon was terminated, and another daemon was killed | 5.60 s after SIGTERM         |
+      | request was cut off that took too long to read | its daemon was terminated                                | no violation                 |
+      | long request got 502 and no target answered    | another daemon was terminated                            | no violation                 |
+      | long request got 502 and its target answered   | another daemon was terminated                            | got 502 instead of an answer |
+      | long request got 502, answered too late        | another daemon was terminated                            | no violation                 |
+      | long request got 502, answered on another host | another daemon was terminated                            | got 502 instead of an answer |
+      | long request was overdue                       | another daemon was terminated                            | after its deadline           |
+      | long request was read slowly                   | another daemon was terminated                            | no violation                 |
 
-  Scenario: A short soak of real processes keeps all promises
+  Scenario: A short soak of real processes keeps all guarantees
     When seed 1 runs on 3 hosts for 4 s
-    Then no promise is broken
+    Then no guarantee is violated
 
-  Scenario: So does one with a request that ends targets, and a suspended host
+  Scenario: A short soak with a crashing request and a suspended host keeps them
     When seed 6 runs on 3 hosts for 4 s
-    Then no promise is broken
+    Then no guarantee is violated
--- a/features/steps/day_steps.py
+++ b/features/steps/day_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the days that the bench also plays."""
+"""Steps for the simulated days that the test bench runs."""
 
 import pathlib
 import tomllib
@@ -6,8 +6,9 @@
 from behave import then
 
 DAYS = pathlib.Path(__file__).parents[2] / 'deploy' / 'days'
-#: Of a day; "closing" is the only one that may be left out.
-DAY_FIELDS = {'name', 'seed', 'plan', 'faults'}
+#: Required keys of a day; "closing" is optional.
+DAY_KEYS = {'name', 'seed', 'plan', 'faults'}
+#: Types of the fields that an entry may have.
 ENTRY_FIELDS = {
     'at': float,
     'kind': str,
@@ -22,8 +23,9 @@
     'service': str,
     'class': str,
 }
-#: What stands for the first zone, service and kind of request of a site.
-PLACES = {'zone': '@z0', 'service': '@s0', 'class': '@c0'}
+#: Placeholders for the first zone, service and request class of a site.
+PLACEHOLDERS = {'zone': '@z0', 'service': '@s0', 'class': '@c0'}
+#: Kinds of entries that the bench supports, by the list they belong to.
 KINDS = {
     'plan': {
         'big_config',
@@ -65,7 +67,7 @@
 
 
 def read_days() -> dict[str, dict]:
-    """Return the days by the names of their files."""
+    """Read all days, by file name without suffix."""
     return {
         path.stem: tomllib.loads(path.read_text())
         for path in sorted(DAYS.glob('*'))
@@ -73,12 +75,12 @@
 
 
 def list_entries() -> list[tuple[str, dict]]:
-    """Return all entries with the list that they stand in."""
+    """List the entries of all days, each with the name of its list."""
     return [
-        (place, entry)
+        (list_name, entry)
         for day in read_days().values()
-        for place in KINDS
-        for entry in day[place]
+        for list_name in KINDS
+        for entry in day[list_name]
     ]
 
 
@@ -88,40 +90,44 @@
 
 
 @then(
-    'each day is named as its file, has a seed, plan and faults, and no more'
+    'each day has the name of its file, a seed, a plan, faults and no other '
+    'key'
 )
 def step_fields(context):
     for name, day in read_days().items():
-        assert set(day) - {'closing'} == DAY_FIELDS, (name, set(day))
+        assert set(day) - {'closing'} == DAY_KEYS, (name, set(day))
         assert day['name'] == name
         assert type(day['seed']) is int
         assert day['plan'] and day['faults'], name
 
 
-@then('each entry has a known kind, in its list, and known fields only')
+@then('each entry has a kind that its list allows and no unknown field')
 def step_entries(context):
-    for place, entry in list_entries():
-        assert entry['kind'] in KINDS[place], entry
+    for list_name, entry in list_entries():
+        assert entry['kind'] in KINDS[list_name], entry
         for field, value in entry.items():
             assert type(value) is ENTRY_FIELDS[field], (field, entry)
 
 
 @then('each time is within {longest_s:d} s, each share above 0 and at most 1')
 def step_times(context, longest_s):
-    for _place, entry in list_entries():
+    for _list_name, entry in list_entries():
         assert 0 <= entry['at'] <= longest_s, entry
         assert 0 < entry.get('share', 1.0) <= 1, entry
 
 
-@then('zones, services and kinds of requests are the first ones of a site')
-def step_places(context):
-    for _place, entry in list_entries():
-        for field, first in PLACES.items():
-            assert entry.get(field, first) == first, entry
+@then(
+    'zones, services and request classes are placeholders for the first of a '
+    'site'
+)
+def step_placeholders(context):
+    for _list_name, entry in list_entries():
+        for field, placeholder in PLACEHOLDERS.items():
+            assert entry.get(field, placeholder) == placeholder, entry
 
 
 @then('"{name}" has the kinds "{kinds}"')
 def step_kinds(context, name, kinds):
     day = read_days()[name]
-    found = {entry['kind'] for place in KINDS for entry in day[place]}
+    found = {entry['kind'] for list_name in KINDS for entry in day[list_name]}
     assert set(kinds.split(', ')) <= found, found
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the soak: its plans, its checks, and a short run."""
+"""Steps for the plans and checks of the soak, and for short runs."""
 
 import asyncio
 import collections
@@ -17,69 +17,69 @@
 from soak import _checks
 from soak import _faults
 from soak import _links
-from soak import _long
+from soak import _long_requests
 from soak import _targets
 from soak import _world
 
 SEEDS = 50
-SENT_S = 100.0
-CLOSING_S = 200.0
-#: Of faults around the requests.
-FAULT_S = SENT_S - 1
-#: Of the plans of seeds 0 to 1999 for 5 hosts and 12 s, before links were
-#: throttled: seeds that were used keep them.
-FIRST_PLANS_SHA256 = (
+SENT_AT_S = 100.0
+FINAL_LOAD_START_S = 200.0
+#: Start of the faults around the requests.
+FAULT_START_S = SENT_AT_S - 1
+#: Digest of the base plans of seeds 0 to 1999 for 5 hosts and 12 s.  A seed
+#: keeps its base plan when kinds of faults are added.
+BASE_PLANS_SHA256 = (
     '1b99e284b62dd4cc56c190f876170b8b9d804e5ad3bb6aa3b269701a293d032a'
 )
-#: The same with throttled links, before hosts were suspended.
-SECOND_PLANS_SHA256 = (
+#: Digest of the same plans with throttled links added.
+THROTTLED_PLANS_SHA256 = (
     '6b966889aafced56b396a05e332f7ef5cc03b8461c829e4ae79561c9650c546b'
 )
-#: Of plans that may cost no request.
-COSTLESS_KINDS = (
-    _faults.PLANNED | _faults.STORE_KINDS | {_faults.FaultKind.THROTTLE}
+#: Kinds in plans that must not cause requests to fail.
+LOSSLESS_PLAN_KINDS = (
+    _faults.PLANNED_KINDS | _faults.STORE_KINDS | {_faults.FaultKind.THROTTLE}
 )
-LAST_KINDS = frozenset(
+CRASH_AND_SUSPEND_KINDS = frozenset(
     (_faults.FaultKind.SUSPEND, _faults.FaultKind.FATAL_REQUEST)
 )
-#: A program that stays when it is told to leave, one that fails then, and
-#: one that ends as it should; each says when it is ready to be told.
-ENDS = {
-    'stays': 'signal.SIG_IGN',
-    'fails': 'lambda *_: sys.exit(1)',
-    'ends well': 'lambda *_: sys.exit(0)',
-    'ends soon': 'lambda *_: (time.sleep(0.3), sys.exit(0))',
+#: SIGTERM handlers of a program that stands for a daemon.  The program prints
+#: a line when its handler is installed.
+SIGTERM_HANDLERS = {
+    'ignores it': 'signal.SIG_IGN',
+    'exits with 1': 'lambda *_: sys.exit(1)',
+    'exits with 0': 'lambda *_: sys.exit(0)',
+    'exits soon': 'lambda *_: (time.sleep(0.3), sys.exit(0))',
 }
 PROGRAM = (
     'import signal, sys, time; signal.signal(signal.SIGTERM, {}); '
     'print(flush=True); time.sleep(30)'
 )
-#: From SIGTERM on, when the soak stands still.
-STILL_AFTER_S = 0.1
-#: Pieces that a link must have moved one by one, and its width.
-THROTTLED_BYTES = 10 * _links.PIECE_BYTES
+#: Time from SIGTERM until the soak is blocked.
+BLOCKED_AFTER_S = 0.1
+#: Size of an answer, which the link forwards in ten chunks, and its rate.
+THROTTLED_BYTES = 10 * _links.PACED_CHUNK_BYTES
 THROTTLE_BYTES_PER_S = 2 * THROTTLED_BYTES
 
 
-class SoakSubject:
-    """A world that nothing was started for, and its books."""
+class SoakResults:
+    """World without any running process, with records made by hand."""
 
     def __init__(self):
-        folder = tempfile.TemporaryDirectory(prefix='soak-books-')
+        folder = tempfile.TemporaryDirectory(prefix='soak-results-')
         self.folder = folder
         settings = _world.WorldSettings(1, hosts=2, callers=1)
         self.world = _world.World(pathlib.Path(folder.name), settings)
-        self.world.closing_s = CLOSING_S
+        self.world.final_load_start_s = FINAL_LOAD_START_S
         self.world.version = 2
         self.records = {}
         for number, caller in enumerate(self.world.callers):
-            self.add(caller, f'good-{number}', CLOSING_S + 1)
+            self.add_request(caller, f'good-{number}', FINAL_LOAD_START_S + 1)
             target = self.world.targets[number]
-            target.books = _targets._Books(f'i-{number}', target.ledger)
+            target.books = _targets._TargetState(f'i-{number}', target.ledger)
             self.world.probes[number].version = 2
 
-    def add(self, caller, request_id, sent_s=SENT_S, **fields):
-        """Add a request that was answered well, but for `fields`."""
+    def add_request(self, caller, request_id, sent_s=SENT_AT_S, **fields):
+        """Add a successful request, with `fields` replaced."""
         values = {'status': 200, 'is_own': True, **fields}
         record = _callers.CallRecord(
             request_id,
@@ -93,59 +93,61 @@
         caller.records.append(record)
         return record
 
-    def ran(self, request_id, *times):
-        """Note in the ledger when a request ran."""
+    def record_runs(self, request_id, *times):
+        """Record in the ledger when a request ran."""
         self.world.ledger.runs[request_id] = list(times)
 
-    def disturb(self, kind, host):
-        """Note a fault around the requests."""
+    def add_fault(self, kind, host):
+        """Record a fault that was active during the requests."""
         fault = _faults.Fault(0.0, kind, host, 1.0)
         self.world.disturbances.append(
-            _world.Disturbance(fault, FAULT_S, FAULT_S + 8)
+            _world.Disturbance(fault, FAULT_START_S, FAULT_START_S + 8)
         )
 
 
-def run_twice(subject):
-    subject.ran('good-0', SENT_S, SENT_S)
+def run_twice(results):
+    results.record_runs('good-0', SENT_AT_S, SENT_AT_S)
 
 
-def run_unasked(subject):
-    subject.ran('nobody', SENT_S)
+def run_unsent(results):
+    results.record_runs('nobody', SENT_AT_S)
 
 
-def mix(subject):
-    subject.add(subject.world.callers[0], 'mixed', is_own=False)
+def return_foreign_answer(results):
+    results.add_request(results.world.callers[0], 'mixed', is_own=False)
 
 
-def refuse_and_run(subject):
-    subject.add(subject.world.callers[0], 'refused', status=503)
-    subject.ran('refused', SENT_S)
+def refuse_and_run(results):
+    results.add_request(results.world.callers[0], 'refused', status=503)
+    results.record_runs('refused', SENT_AT_S)
 
 
-def deny(subject):
-    subject.add(subject.world.callers[0], 'denied', status=404)
+def reject(results):
+    results.add_request(results.world.callers[0], 'denied', status=404)
 
 
-def forge(subject, status=503):
-    subject.add(subject.world.callers[0], 'forged', status=status, key='k')
+def send_forged_key(results, status=503):
+    results.add_request(
+        results.world.callers[0], 'forged', status=status, key='k'
+    )
 
 
-def forge_and_run(subject):
-    forge(subject, 500)
-    subject.ran('forged', SENT_S)
+def run_with_forged_key(results):
+    send_forged_key(results, 500)
+    results.record_runs('forged', SENT_AT_S)
 
 
-def forge_and_answer(subject):
-    forge(subject, 200)
+def answer_forged_key(results):
+    send_forged_key(results, 200)
 
 
-def forge_and_refuse(subject):
-    forge(subject, 401)
+def refuse_forged_key(results):
+    send_forged_key(results, 401)
 
 
-def add_known(subject, **fields):
-    subject.add(
-        subject.world.callers[0],
+def send_valid_key(results, **fields):
+    results.add_request(
+        results.world.callers[0],
         'known',
         key='k',
         workspace='harbour',
@@ -153,196 +155,211 @@
     )
 
 
-def deny_known(subject):
-    add_known(subject, status=401)
+def refuse_valid_key(results):
+    send_valid_key(results, status=401)
 
 
-def run_for(subject, *told):
-    add_known(subject)
-    subject.ran('known', SENT_S)
-    fields = [('X-Tenant', workspace) for workspace in told]
-    subject.world.ledger.note_fields('known', fields)
+def run_for_workspaces(results, *workspaces):
+    send_valid_key(results)
+    results.record_runs('known', SENT_AT_S)
+    fields = [('X-Tenant', workspace) for workspace in workspaces]
+    results.world.ledger.record_identity_headers('known', fields)
 
 
-def run_for_other(subject):
-    run_for(subject, 'quay')
+def run_for_other_workspace(results):
+    run_for_workspaces(results, 'quay')
 
 
-def run_for_own(subject):
-    run_for(subject, 'harbour')
+def run_for_own_workspace(results):
+    run_for_workspaces(results, 'harbour')
 
 
-def show_key(subject):
-    run_for(subject, 'harbour')
+def forward_key(results):
+    run_for_workspaces(results, 'harbour')
     fields = [('aUTHORIZATION', 'Token k')]
-    subject.world.ledger.note_fields('known', fields)
+    results.world.ledger.record_identity_headers('known', fields)
 
 
-def hold(subject):
-    subject.add(
-        subject.world.callers[0], 'held', status=504, done_s=SENT_S + 6
+def answer_late(results):
+    results.add_request(
+        results.world.callers[0], 'held', status=504, done_s=SENT_AT_S + 6
     )
 
 
-def lose(subject):
-    subject.add(subject.world.callers[0], 'lost', status=0)
-    subject.ran('lost', SENT_S)
+def lose_request(results):
+    results.add_request(results.world.callers[0], 'lost', status=0)
+    results.record_runs('lost', SENT_AT_S)
+
 
+def return_bad_gateway(results):
+    results.add_request(results.world.callers[0], 'cut', status=502)
+    results.record_runs('cut', SENT_AT_S)
 
-def cut(subject):
-    subject.add(subject.world.callers[0], 'cut', status=502)
-    subject.ran('cut', SENT_S)
 
+def add_cut_off_request(results, after_s, **fields):
+    """Add a request that ran but was cut off 5.6 s after SIGTERM.
 
-def add_cut(subject, told_s, **fields):
-    """Add a request that ran, sent so long after SIGTERM, and was cut."""
-    sent_s = FAULT_S + told_s
-    record = subject.add(
-        subject.world.callers[0],
+    It was sent `after_s` after SIGTERM.
+    """
+    sent_s = FAULT_START_S + after_s
+    record = results.add_request(
+        results.world.callers[0],
         'cut-off',
         sent_s,
         status=0,
-        done_s=FAULT_S + 5.6,
-        deadline_ms=_long.DEADLINE_MS,
+        done_s=FAULT_START_S + 5.6,
+        deadline_ms=_long_requests.DEADLINE_MS,
         **fields,
     )
-    subject.ran(record.request_id, sent_s)
+    results.record_runs(record.request_id, sent_s)
 
 
-def cut_before(subject):
-    add_cut(subject, -0.5)
+def cut_off_sent_before(results):
+    add_cut_off_request(results, -0.5)
 
 
-def cut_after(subject):
-    add_cut(subject, 2.9)
+def cut_off_sent_after(results):
+    add_cut_off_request(results, 2.9)
 
 
-def cut_late(subject):
-    add_cut(subject, 3.1)
+def cut_off_sent_late(results):
+    add_cut_off_request(results, 3.1)
 
 
-def cut_reading(subject):
-    add_cut(subject, 0.5, began_s=FAULT_S + 4, reading_s=1.0)
+def cut_off_readable(results):
+    add_cut_off_request(results, 0.5, began_s=FAULT_START_S + 4, reading_s=1.0)
 
 
-def cut_reading_on(subject):
-    add_cut(subject, 0.5, began_s=FAULT_S + 4, reading_s=2.0)
+def cut_off_slow_reader(results):
+    add_cut_off_request(results, 0.5, began_s=FAULT_START_S + 4, reading_s=2.0)
 
 
-def lose_answer(subject, answered_s=FAULT_S + 5.3, target='i-host-1-1'):
-    lose_unanswered(subject)
-    subject.world.ledger.answers['unknown'] = answered_s, target
+def lose_target_answer(
+    results, answered_s=FAULT_START_S + 5.3, target='i-host-1-1'
+):
+    lose_unanswered(results)
+    results.world.ledger.answers['unknown'] = answered_s, target
 
 
-def lose_last_answer(subject):
-    lose_answer(subject, FAULT_S + 5.6)
+def lose_last_answer(results):
+    lose_target_answer(results, FAULT_START_S + 5.6)
 
 
-def lose_other_answer(subject):
-    lose_answer(subject, FAULT_S + 5.6, 'i-host-0-1')
+def lose_other_answer(results):
+    lose_target_answer(results, FAULT_START_S + 5.6, 'i-host-0-1')
 
 
-def lose_unanswered(subject):
-    subject.add(
-        subject.world.callers[0],
+def lose_unanswered(results):
+    results.add_request(
+        results.world.callers[0],
         'unknown',
         status=502,
-        done_s=FAULT_S + 5.8,
-        deadline_ms=_long.DEADLINE_MS,
+        done_s=FAULT_START_S + 5.8,
+        deadline_ms=_long_requests.DEADLINE_MS,
     )
-    subject.ran('unknown', SENT_S)
+    results.record_runs('unknown', SENT_AT_S)
 
 
-def hold_reader(subject):
-    hold_long(subject, 12.0)
+def answer_long_late(results):
+    add_long_request(results, 12.0)
 
 
-def read_slowly(subject):
-    hold_long(subject, 9.0)
+def read_slowly(results):
+    add_long_request(results, 9.0)
 
 
-def hold_long(subject, took_s):
-    subject.add(
-        subject.world.callers[0],
+def add_long_request(results, duration_s):
+    results.add_request(
+        results.world.callers[0],
         'reader',
-        done_s=SENT_S + took_s,
-        deadline_ms=_long.DEADLINE_MS,
+        done_s=SENT_AT_S + duration_s,
+        deadline_ms=_long_requests.DEADLINE_MS,
         reading_s=1.0,
     )
 
 
-def run_late(subject):
-    books = subject.world.targets[0].books
-    books.left_s = -1e9
+def run_late(results):
+    books = results.world.targets[0].books
+    books.acknowledged_s = -1e9
     books.note_run('good-0', '', {}, b'')
 
 
-def overload(subject):
-    subject.world.targets[0].books.most_running = _targets.SLOTS + 1
+def overload(results):
+    results.world.targets[0].books.most_running = _targets.SLOTS + 1
 
 
-def go_back(subject):
-    subject.world.probes[0].broken.append('had 2, and lacks version 1')
+def revert_version(results):
+    results.world.probes[0].regressions.append(
+        'had 2, but now lacks version 1'
+    )
 
 
-def serve_nobody(subject):
-    subject.world.callers[0].records.clear()
+def answer_nobody(results):
+    results.world.callers[0].records.clear()
 
 
-def lag(subject):
-    subject.world.probes[1].version = 1
+def miss_version(results):
+    results.world.probes[1].version = 1
 
 
-def reach_late(count, after_s, ends):
-    """Let a request reach targets after some had ended under it."""
+def reach_targets(count, after_s, crashes):
+    """Make a request reach targets after it had crashed some."""
 
-    def deed(subject):
-        subject.world.ledger.ends_s += [SENT_S] * ends
+    def change(results):
+        results.world.ledger.ends_s += [SENT_AT_S] * crashes
         for number in range(count):
             request_id = f'fatal-{number}'
-            subject.world.fatal.ids.add(request_id)
-            subject.ran(request_id, SENT_S + after_s)
+            results.world.crash_caller.ids.add(request_id)
+            results.record_runs(request_id, SENT_AT_S + after_s)
 
-    return deed
+    return change
 
 
-DEEDS = {
-    'nothing is wrong': lambda subject: None,
+CHANGES = {
+    'all is well': lambda results: None,
     'a request that may run once ran twice': run_twice,
-    'a request ran that nobody sent': run_unasked,
-    'a request ran with a forged key': forge_and_run,
-    'a forged key was answered': forge_and_answer,
-    'a forged key was told 401': forge_and_refuse,
-    'a key that is held was told 401': deny_known,
-    'a request ran for another workspace': run_for_other,
-    'a request ran for its workspace': run_for_own,
-    'a key came along to a target': show_key,
-    "a success is not the caller's own": mix,
-    'a request was told 503 and ran': refuse_and_run,
-    'a request with a route was told 404': deny,
-    'a request was held by a sound daemon': hold,
-    'a request was lost beside planned work': lose,
-    'a request was cut beside planned work': cut,
-    'a request was cut that was sent before SIGTERM': cut_before,
-    'a request was cut that was sent 2.9 s after': cut_after,
-    'a request was cut that was sent 3.1 s after': cut_late,
-    'a request was cut that could still be read': cut_reading,
-    'a request was cut that was read for too long': cut_reading_on,
-    'a long request was told 502 and not answered': lose_unanswered,
-    'a long request was told 502 and answered': lose_answer,
-    'a long request was told 502 and answered last': lose_last_answer,
-    'a long request was told 502, answered elsewhere': lose_other_answer,
-    'a long request was held': hold_reader,
+    'a request ran that nobody sent': run_unsent,
+    'a request ran with a forged key': run_with_forged_key,
+    'a forged key was answered': answer_forged_key,
+    'a forged key got 401': refuse_forged_key,
+    'a valid key got 401': refuse_valid_key,
+    'a request ran for another workspace': run_for_other_workspace,
+    'a request ran for its workspace': run_for_own_workspace,
+    'an API key reached a target': forward_key,
+    "a success is not the caller's own": return_foreign_answer,
+    'a request got 503 and ran': refuse_and_run,
+    'a request with a route got 404': reject,
+    'a request was overdue at a healthy daemon': answer_late,
+    'a request was lost during planned operations': lose_request,
+    'a request got 502 during planned operations': return_bad_gateway,
+    'a request sent before SIGTERM was cut off': cut_off_sent_before,
+    'a request sent 2.9 s after SIGTERM was cut off': cut_off_sent_after,
+    'a request sent 3.1 s after SIGTERM was cut off': cut_off_sent_late,
+    'a request was cut off that could be read in time': cut_off_readable,
+    'a request was cut off that took too long to read': cut_off_slow_reader,
+    'a long request got 502 and no target answered': lose_unanswered,
+    'a long request got 502 and its target answered': lose_target_answer,
+    'a long request got 502, answered too late': lose_last_answer,
+    'a long request got 502, answered on another host': lose_other_answer,
+    'a long request was overdue': answer_long_late,
     'a long request was read slowly': read_slowly,
     'a target that had left ran a request': run_late,
     'a target worked on more than its slots': overload,
-    'a daemon went back to an older version': go_back,
-    'a daemon served nobody after the last fault': serve_nobody,
-    'a daemon lacks the newest version': lag,
-    'a request reached 4 targets 3.1 s after 3 ends': reach_late(4, 3.1, 3),
-    'a request reached 3 targets 3.1 s after 3 ends': reach_late(3, 3.1, 3),
-    'a request reached 9 targets 2.9 s after 3 ends': reach_late(9, 2.9, 3),
-    'a request reached 9 targets 3.1 s after 2 ends': reach_late(9, 3.1, 2),
+    'a daemon went back to an older version': revert_version,
+    'a daemon answered nobody after the last fault': answer_nobody,
+    'a daemon lacks the newest version': miss_version,
+    'a request reached 4 targets 3.1 s after 3 crashes': reach_targets(
+        4, 3.1, 3
+    ),
+    'a request reached 3 targets 3.1 s after 3 crashes': reach_targets(
+        3, 3.1, 3
+    ),
+    'a request reached 9 targets 2.9 s after 3 crashes': reach_targets(
+        9, 2.9, 3
+    ),
+    'a request reached 9 targets 3.1 s after 2 crashes': reach_targets(
+        9, 3.1, 2
+    ),
 }
 FAULTS = {
     'the store was away': (_faults.FaultKind.STORE, 1),
@@ -350,118 +367,133 @@
     'another daemon was paused': (_faults.FaultKind.PAUSE, 1),
     'another daemon was killed': (_faults.FaultKind.KILL, 1),
     'its daemon was killed': (_faults.FaultKind.KILL, 0),
-    'a link was narrow': (_faults.FaultKind.THROTTLE, 1),
+    'a link was throttled': (_faults.FaultKind.THROTTLE, 1),
     'another daemon was terminated': (_faults.FaultKind.TERMINATE, 1),
     'its daemon was terminated': (_faults.FaultKind.TERMINATE, 0),
 }
 
 
-@then('plans of {seeds:d} seeds are alike twice, and differ from others')
+@then('plans of {seeds:d} seeds are reproducible and differ from each other')
 def step_plans(context, seeds):
     plans = [_faults.make_plan(seed, 5, 12.0, True) for seed in range(seeds)]
-    again = [_faults.make_plan(seed, 5, 12.0, True) for seed in range(seeds)]
-    assert plans == again
+    repeated = [
+        _faults.make_plan(seed, 5, 12.0, True) for seed in range(seeds)
+    ]
+    assert plans == repeated
     assert len(set(plans)) == seeds
     kinds = {fault.kind for plan in plans for fault in plan}
-    # The end of a target follows from a request, and is in no plan.
+    # The crash of a target follows from a request and is never planned.
     assert kinds == set(_faults.FaultKind) - {_faults.FaultKind.TARGET_ENDS}
 
 
-@then('the plans that were there before links were throttled are unchanged')
-def step_first_plans(context):
+@then('the plans of earlier releases are unchanged but for added faults')
+def step_base_plans(context):
     digest, throttled = hashlib.sha256(), hashlib.sha256()
     for seed in range(2000):
         plan = _faults.make_plan(seed, 5, 12.0)
         digest.update(repr(plan).encode())
-        whole = _faults.make_plan(seed, 5, 12.0, True)
-        second = tuple(item for item in whole if item.kind not in LAST_KINDS)
-        throttled.update(repr(second).encode())
-        first = [
+        full_plan = _faults.make_plan(seed, 5, 12.0, True)
+        throttled_plan = tuple(
+            item
+            for item in full_plan
+            if item.kind not in CRASH_AND_SUSPEND_KINDS
+        )
+        throttled.update(repr(throttled_plan).encode())
+        base = [
             fault
-            for fault in second
+            for fault in throttled_plan
             if fault.kind is not _faults.FaultKind.THROTTLE
         ]
-        assert tuple(first) == plan, seed
-    assert digest.hexdigest() == FIRST_PLANS_SHA256, digest.hexdigest()
-    assert throttled.hexdigest() == SECOND_PLANS_SHA256, throttled.hexdigest()
+        assert tuple(base) == plan, seed
+    assert digest.hexdigest() == BASE_PLANS_SHA256, digest.hexdigest()
+    assert throttled.hexdigest() == THROTTLED_PLANS_SHA256, (
+        throttled.hexdigest()
+    )
 
 
 @then(
-    'plans have suspended hosts, and a request that ends targets, but for '
-    'those without unplanned work'
+    'plans with unplanned faults also have suspended hosts and a request that '
+    'crashes targets'
 )
-def step_later_kinds(context):
+def step_extra_kinds(context):
     counts = collections.Counter()
     for seed in range(SEEDS):
         plan = _faults.make_plan(seed, 5, 12.0, True)
         kinds = collections.Counter(fault.kind for fault in plan)
         fatal = kinds[_faults.FaultKind.FATAL_REQUEST]
-        is_planned = not kinds.keys() - COSTLESS_KINDS - LAST_KINDS
+        is_planned = (
+            not kinds.keys() - LOSSLESS_PLAN_KINDS - CRASH_AND_SUSPEND_KINDS
+        )
         assert fatal == (not is_planned), (seed, kinds)
         if is_planned:
-            assert not kinds.keys() & LAST_KINDS, (seed, kinds)
+            assert not kinds.keys() & CRASH_AND_SUSPEND_KINDS, (seed, kinds)
         counts += kinds
     assert counts[_faults.FaultKind.SUSPEND] > SEEDS / 2, counts
     assert counts[_faults.FaultKind.FATAL_REQUEST] > SEEDS / 2, counts
 
 
-@given('books in which {deed}')
-def step_books(context, deed):
-    context.soak = SoakSubject()
+@given('soak results in which {change}')
+def step_results(context, change):
+    context.soak = SoakResults()
     context.cleanups.append(context.soak.folder.cleanup)
-    DEEDS[deed](context.soak)
+    CHANGES[change](context.soak)
 
 
-@given('{fault} then')
+@given('{fault} at that time')
 def step_fault(context, fault):
     for name in fault.split(', and '):
-        context.soak.disturb(*FAULTS[name])
+        context.soak.add_fault(*FAULTS[name])
 
 
-@when('a daemon that {end} is told to leave within {grace_s:g} s')
-def step_told_to_leave(context, end, grace_s):
-    tell(context.soak.world, end, grace_s)
+@when('a daemon that {end} gets SIGTERM and {grace_s:g} s to exit')
+def step_sigterm(context, end, grace_s):
+    terminate(context.soak.world, end, grace_s)
 
 
 @when(
-    'a daemon that {end} is told to leave within {grace_s:g} s, while the '
-    'soak stands still for {pause_s:g} s'
+    'a daemon that {end} gets SIGTERM and {grace_s:g} s to exit, while the '
+    'soak is blocked for {pause_s:g} s'
 )
-def step_told_to_leave_still(context, end, grace_s, pause_s):
-    tell(context.soak.world, end, grace_s, pause_s)
+def step_sigterm_while_blocked(context, end, grace_s, pause_s):
+    terminate(context.soak.world, end, grace_s, pause_s)
 
 
-def tell(world, end, grace_s, pause_s=0.0):
-    """Tell a program to leave, and stand still soon after."""
+def terminate(world, end, grace_s, pause_s=0.0):
+    """Send SIGTERM to a program and block the soak soon after."""
 
     async def run():
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-c',
-            PROGRAM.format(ENDS[end]),
+            PROGRAM.format(SIGTERM_HANDLERS[end]),
             stdout=asyncio.subprocess.PIPE,
         )
         world.daemons[0].process = process
         await process.stdout.readline()
         loop = asyncio.get_running_loop()
-        loop.call_later(STILL_AFTER_S, time.sleep, pause_s)
-        await world.end_daemon(world.daemons[0], grace_s)
+        loop.call_later(BLOCKED_AFTER_S, time.sleep, pause_s)
+        await world.terminate_daemon(world.daemons[0], grace_s)
         assert process.returncode is not None
 
     asyncio.run(run())
 
 
-@then('each caller waits for longer than a request may be held')
-def step_patience(context):
+@then('each caller waits until after a request is overdue')
+def step_receive_timeout(context):
     world = context.soak.world
     assert world.long_callers
     for caller in (*world.callers, *world.long_callers):
-        deadlines_ms = [record.deadline_ms for record in caller._choose()]
-        held_s = max(deadlines_ms) / 1000 + _checks.HELD_S
-        assert caller.patience_s > held_s, (caller.name, held_s)
+        deadlines_ms = [
+            record.deadline_ms for record in caller._choose_requests()
+        ]
+        overdue_after_s = max(deadlines_ms) / 1000 + _checks.OVERDUE_S
+        assert caller.receive_timeout_s > overdue_after_s, (
+            caller.name,
+            overdue_after_s,
+        )
 
 
-@then('a throttled link moves answers as slowly as it should')
+@then('a throttled link forwards answers at its rate')
 def step_throttled(context):
     async def run():
         async def answer(_reader, writer):
@@ -489,19 +521,19 @@
 
     size_bytes, arrivals = asyncio.run(run())
     assert size_bytes == THROTTLED_BYTES, size_bytes
-    # Nine of ten pieces wait for the one before.
+    # Nine of ten chunks wait for the one before.
     assert 0.4 < arrivals[-1] < 1.5, arrivals
     assert len(arrivals) > 5, arrivals
 
 
-@then('the soak says that {finding}')
+@then('the soak reports {finding}')
 def step_finding(context, finding):
-    broken = _checks.check_promises(context.soak.world)
-    if finding == 'nothing is broken':
-        assert not broken, broken
+    violations = _checks.check_guarantees(context.soak.world)
+    if finding == 'no violation':
+        assert not violations, violations
     else:
-        assert len(broken) == 1, broken
-        assert finding in broken[0], broken
+        assert len(violations) == 1, violations
+        assert finding in violations[0], violations
 
 
 @when('seed {seed:d} runs on {hosts:d} hosts for {seconds:d} s')
@@ -509,10 +541,10 @@
     settings = _world.WorldSettings(seed, hosts, float(seconds))
     with tempfile.TemporaryDirectory(prefix='soak-') as folder:
         path = pathlib.Path(folder)
-        context.broken, summary = soak_main.run_seed(path, settings)
+        context.violations, summary = soak_main.run_seed(path, settings)
     print(summary)
 
 
-@then('no promise is broken')
-def step_kept(context):
-    assert not context.broken, context.broken
+@then('no guarantee is violated')
+def step_guarantees(context):
+    assert not context.violations, context.violations
--- a/scripts/compile_daemon.py
+++ b/scripts/compile_daemon.py
@@ -1,12 +1,12 @@
-"""Compiles the modules of sedgering into a folder of the daemon's path.
+"""Compiles the modules of sedgering into a folder on the daemon's path.
 
     python3 scripts/compile_daemon.py FOLDER
 
-A host has no disk, so that nothing compiled there would last until the next
-start.  Modules are compiled when the daemon is built, without docstrings,
-which no daemon reads; a start takes half of the processor time.  Files are
-replaced one by one, and only those that differ: daemons may be starting from
-the folder.
+Hosts have no disk, so modules compiled on a host would be lost before the
+next start.  Compiling them when the daemon is built, without docstrings, which
+no daemon reads, halves the processor time of a start.  Files are replaced
+atomically and only if they differ, because daemons may be starting from the
+folder.
 """
 
 import importlib._bootstrap_external
@@ -16,38 +16,38 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PACKAGE = 'sedgering'
-#: Without docstrings; the package has no assertions.
+#: Removes docstrings and assertions; the package has no assertions.
 OPTIMIZE = 2
 
 
 def encode_module(path: pathlib.Path) -> bytes:
-    """Return the compiled form of a module, which is loaded without source.
+    """Compile a module to a file that is loaded without its source.
 
     Parameters
     ----------
     path : Path
-        Of its source, below the root: tracebacks name it.
+        Path of the source relative to the root, as tracebacks show it.
     """
     source = (ROOT / path).read_bytes()
     code = compile(
         source, str(path), 'exec', dont_inherit=True, optimize=OPTIMIZE
     )
-    # Of no source's age: there is none beside it to compare with.
+    # No timestamp: there is no source next to it to compare with.
     return bytes(importlib._bootstrap_external._code_to_timestamp_pyc(code))
 
 
 def replace_file(path: pathlib.Path, data: bytes) -> None:
-    """Write a file at once, if it differs."""
+    """Replace a file atomically if its contents differ."""
     if path.exists() and path.read_bytes() == data:
         return
     path.parent.mkdir(parents=True, exist_ok=True)
-    part = path.with_suffix(f'.{os.getpid()}')
-    part.write_bytes(data)
-    part.replace(path)
+    temporary = path.with_suffix(f'.{os.getpid()}')
+    temporary.write_bytes(data)
+    temporary.replace(path)
 
 
 def compile_package(folder: pathlib.Path) -> None:
-    """Compile all modules, and remove those whose source is gone."""
+    """Compile all modules and remove those without a source."""
     compiled = set()
     for source in sorted((ROOT / PACKAGE).rglob('*.py')):
         relative = source.relative_to(ROOT)
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,9 +1,10 @@
-"""The main job on the embedded stand-ins, from first bundle to verdict.
+"""Demo: rolls two bundles on a fleet of stand-ins and checks the calls.
 
 Starts the platform stand-in, six proxies in three data centres and the
-targets of Tuulai; checks, signs off and rolls a bundle; sends calls; rolls
-a second version under load; ends with status 0 only when no call was lost,
-doubled or cut.
+targets of the example.  Checks, signs off and rolls a bundle, sends calls, and
+rolls a second version under load.  Exits with status 0 only if no call was
+lost, run more than once or answered wrongly, and none that ran was reported as
+not run.
 """
 
 import collections
@@ -39,7 +40,7 @@
         start_fleet(fleet)
         roll(fleet, EXAMPLES / 'bundle.yaml')
         fleet.wait_targets(TARGET_SETS)
-        print(f'all proxies know {sum(TARGET_SETS.values())} targets')
+        print(f'all proxies list {sum(TARGET_SETS.values())} targets')
         callers = start_callers(fleet)
         time.sleep(2)
         print('rolling a second version under load')
@@ -47,14 +48,14 @@
         time.sleep(2)
         for caller in callers:
             caller.stop()
-        verdict = judge(fleet, callers)
-        report(fleet, convergence_ms, verdict)
-    is_sound = not (verdict.lost or verdict.doubled or verdict.cut)
-    return 0 if is_sound and not verdict.told_wrongly else 1
+        verdict = compare_records(fleet, callers)
+        print_figures(fleet, convergence_ms, verdict)
+    has_no_failures = not (verdict.lost or verdict.doubled or verdict.cut)
+    return 0 if has_no_failures and not verdict.told_wrongly else 1
 
 
 def start_fleet(fleet: testing.Fleet) -> None:
-    """Start platform, proxies and targets."""
+    """Start the platform stand-in, the proxies and the targets."""
     fleet.start_platform()
     fleet.add_proxies(DATA_CENTRES * PROXIES_PER_DATA_CENTRE)
     target_sets = [
@@ -66,11 +67,11 @@
         fleet.make_targets(fleet.proxies, target_sets, slots=SLOTS)
     )
     fleet.wait_members()
-    print(f'{len(fleet.proxies)} proxies know each other')
+    print(f'{len(fleet.proxies)} proxies have complete membership')
 
 
 def roll(fleet: testing.Fleet, path: pathlib.Path) -> float:
-    """Check, sign off, roll and watch; return the convergence time."""
+    """Check, sign off and roll a bundle; return the convergence time in ms."""
     print(fleet.run_operator('check', str(path), needs_config=False).strip())
     print(fleet.run_operator('sign-off', str(path)).strip())
     version = len(fleet.run_operator('history', '--json').splitlines())
@@ -83,7 +84,7 @@
 
 
 def start_callers(fleet: testing.Fleet) -> list[testing.Caller]:
-    """Start the load."""
+    """Start the callers that generate the load."""
     ports = [proxy.data_port for proxy in fleet.proxies]
     callers = [
         testing.Caller(ports, HOST, CALLS, seed, CALL_PAUSE_S)
@@ -94,10 +95,10 @@
     return callers
 
 
-def judge(
+def compare_records(
     fleet: testing.Fleet, callers: list[testing.Caller]
 ) -> testing.Verdict:
-    """Compare the callers' records with the targets' ledgers."""
+    """Compare the records of callers with the ledgers of targets."""
     ledger: collections.Counter = collections.Counter()
     for target in yaml.safe_load(
         (fleet.folder / 'targets-0.yaml').read_text()
@@ -107,19 +108,20 @@
     return testing.judge_calls(records, ledger)
 
 
-def report(
+def print_figures(
     fleet: testing.Fleet, convergence_ms: float, verdict: testing.Verdict
 ) -> None:
-    """Print the figures."""
+    """Print convergence time, control traffic and call counts."""
     control_bytes = sum(fleet.control_bytes(proxy) for proxy in fleet.proxies)
     print(f'convergence: {convergence_ms:.0f} ms from roll to all proxies')
     print(f'control bytes: {control_bytes} received by all proxies so far')
     print(
         f'calls: {verdict.sent} sent, {verdict.answered} answered, '
-        f'{verdict.lost} lost, {verdict.doubled} doubled, {verdict.cut} cut, '
-        f'{verdict.told_not_run} told not run, '
-        f'{verdict.told_wrongly} of them wrongly, '
-        f'{verdict.told_unknown} told unknown'
+        f'{verdict.lost} lost, {verdict.doubled} run more than once, '
+        f'{verdict.cut} with a wrong or incomplete answer, '
+        f'{verdict.told_not_run} reported as not run, '
+        f'{verdict.told_wrongly} of them although they ran, '
+        f'{verdict.told_unknown} with unknown outcome'
     )
     stats = fleet.stats()
     print(json.dumps({'platform_reads': stats.reads, 'writes': stats.writes}))
--- a/scripts/make_errors_page.py
+++ b/scripts/make_errors_page.py
@@ -1,4 +1,4 @@
-"""Writes the table of codes of docs/errors.md from the code."""
+"""Generates docs/errors.md from the error codes."""
 
 import pathlib
 
@@ -22,7 +22,7 @@
 
 
 def main() -> None:
-    """Write the page."""
+    """Write the header and one row per code."""
     rows = [f'| SDG-{int(code)} | {code.text} |\n' for code in exceptions.Code]
     PAGE.write_text(HEADER + ''.join(rows))
 
--- a/scripts/make_settings_page.py
+++ b/scripts/make_settings_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/settings.md from the settings classes and their docs."""
+"""Generates docs/settings.md from settings classes and their docstrings."""
 
 import inspect
 import pathlib
@@ -17,7 +17,7 @@
 Written by `scripts/make_settings_page.py`; a test compares this page with
 the code.
 """
-#: Each class with the place where it is written.
+#: Settings classes, each with the option or key where it is written.
 CLASSES = (
     (mesh.MeshSettings, '`sedgering-mesh --config FILE`'),
     (settings.OperatorSettings, '`sedgering ... --config FILE`'),
@@ -31,23 +31,23 @@
 
 
 def make_page() -> str:
-    """Make the text of the page."""
+    """Make the text of the page from the fields of all classes."""
     parts = [HEADER]
     for settings_class, place in CLASSES:
         parts.append(f'\n## {settings_class.__name__}: {place}\n')
         parts.append('\n| key | default | meaning |\n|---|---|---|\n')
         meanings = _read_meanings(settings_class)
         for field in msgspec.structs.fields(settings_class):
-            default = _show_default(field)
+            default = _format_default(field)
             meaning = meanings.get(field.name, '')
             parts.append(f'| `{field.name}` | {default} | {meaning} |\n')
     return ''.join(parts)
 
 
 def _read_meanings(settings_class: type) -> dict[str, str]:
-    """Read the parameters of a numpydoc text."""
+    """Return parameter descriptions by name from a numpydoc docstring."""
     text = inspect.cleandoc(settings_class.__doc__)
-    _head, _mark, body = text.partition('Parameters\n----------\n')
+    _head, _heading, body = text.partition('Parameters\n----------\n')
     meanings: dict[str, list[str]] = {}
     names: list[str] = []
     for line in body.splitlines():
@@ -55,13 +55,13 @@
             for name in names:
                 meanings[name].append(line.strip())
         elif match := _PARAMETER.match(line):
-            stated = match.group(1) or match.group(3)
-            names = [name.strip() for name in stated.split(',')]
+            listed = match.group(1) or match.group(3)
+            names = [name.strip() for name in listed.split(',')]
             meanings.update({name: [] for name in names})
     return {name: ' '.join(lines) for name, lines in meanings.items()}
 
 
-def _show_default(field: msgspec.structs.FieldInfo) -> str:
+def _format_default(field: msgspec.structs.FieldInfo) -> str:
     if field.required:
         return 'required'
     default = field.default
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,8 +1,8 @@
-"""Formatter check, linter and behave, with one verdict.
+"""Runs the formatter check, the linter and behave with one overall result.
 
-The last line counts scenarios from behave's own results, and each of the
-two checks as one.  Scenarios that KNOWN-RED.txt lists are run and printed,
-and do not count as failed.
+The last line counts the scenarios in the report of behave, and each of the
+two checks as one.  Failing scenarios that are listed in KNOWN-RED.txt are
+printed and do not count as failed.
 """
 
 import json
@@ -13,9 +13,9 @@
 import tempfile
 
 ROOT = pathlib.Path(__file__).parent.parent
-#: One line each: feature file and scenario, cause, issue, with ``|`` between.
+#: Known failures, one a line: ``feature file: scenario | cause | issue``.
 KNOWN_RED = ROOT / 'KNOWN-RED.txt'
-#: More than so many known faults are mended first.
+#: Largest number of known failures; more must be fixed first.
 KNOWN_RED_LIMIT = 3
 BIN = pathlib.Path(sys.executable).parent
 CHECKS = (
@@ -23,14 +23,15 @@
     ('linter', ['flake8']),
 )
 TIMEOUT_S = 1800
-#: Last lines of what a step said that failed: the assertion and its values.
-CAUSE_LINES = 6
-#: The same verdict every run: no hash seed of the day, no cached examples.
+#: Number of last lines printed of an error message: the assertion and its
+#: values.
+MAX_ERROR_LINES = 6
+#: A fixed hash seed makes runs reproducible; tests use no cached examples.
 ENVIRONMENT = {**os.environ, 'PYTHONHASHSEED': '0'}
 
 
 def main() -> int:
-    """Run everything and print the verdict."""
+    """Run all checks and print the counts; return the exit status."""
     passed = 0
     failed = 0
     for name, command in CHECKS:
@@ -54,7 +55,7 @@
 
 
 def run_behave() -> tuple[int, int]:
-    """Run all scenarios and count them from behave's report."""
+    """Run all scenarios; return how many passed and failed."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / 'report.json'
         try:
@@ -70,23 +71,23 @@
                 timeout=TIMEOUT_S,
             )
         except subprocess.TimeoutExpired:
-            print(f'behave has not ended in {TIMEOUT_S} s')
+            print(f'behave timed out after {TIMEOUT_S} s')
             return 0, 1
         if not report.exists():
-            # Behave could not even load the steps.
+            # Behave failed before it ran a feature, such as on loading steps.
             return 0, 1
         features = json.loads(report.read_text() or '[]')
-    passed, failed, excused = judge(features)
-    if completed.returncode and not failed and not excused:
+    passed, failed, known_failures = count_results(features)
+    if completed.returncode and not failed and not known_failures:
         failed = 1
     return passed, failed
 
 
-def judge(features: list[dict]) -> tuple[int, int, int]:
-    """Count what passed, what failed, and what is known to fail."""
+def count_results(features: list[dict]) -> tuple[int, int, int]:
+    """Count passed scenarios, failed ones, and known failures."""
     known = read_known_red()
     seen = set()
-    passed = failed = excused = 0
+    passed = failed = known_failures = 0
     for feature in features:
         results = [
             (name_scenario(feature, element), element['status'] == 'passed')
@@ -94,26 +95,27 @@
             if element['type'] != 'background'
         ]
         seen.update(name for name, _is_passed in results)
-        red = [name for name, is_passed in results if not is_passed]
-        passed += len(results) - len(red)
-        print_causes(feature)
-        for name in red:
+        failures = [name for name, is_passed in results if not is_passed]
+        passed += len(results) - len(failures)
+        print_failures(feature)
+        for name in failures:
             if name in known:
-                excused += 1
+                known_failures += 1
                 print(f'known red: {name}: {known[name]}')
             else:
                 failed += 1
-        if not red and feature['status'] != 'passed':
-            print(f'failed around its scenarios: {feature["location"]}')
+        if not failures and feature['status'] != 'passed':
+            print(f'failed outside of its scenarios: {feature["location"]}')
             failed += 1
     if not sys.argv[1:]:
-        # A line that outlives its scenario could excuse another one.
+        # A stale entry could hide the failure of a later scenario of that
+        # name.  Only a complete run shows which entries are stale.
         failed += report_stale(known.keys() - seen)
-    return passed, failed, excused
+    return passed, failed, known_failures
 
 
-def print_causes(feature: dict) -> None:
-    """Print the step at which each scenario failed, and what it said."""
+def print_failures(feature: dict) -> None:
+    """Print the failed step of each scenario and its error message."""
     for element in feature['elements']:
         for step in element.get('steps', ()):
             result = step.get('result', {})
@@ -122,29 +124,29 @@
                 lines = lines.splitlines()
             if lines:
                 print(f'{element["location"]}: {step["name"]}')
-                print('    ' + '\n    '.join(lines[-CAUSE_LINES:]))
+                print('    ' + '\n    '.join(lines[-MAX_ERROR_LINES:]))
 
 
 def name_scenario(feature: dict, element: dict) -> str:
-    """Return file and name of a scenario, one for all rows of an outline."""
+    """Return file and name of a scenario, shared by the rows of an outline."""
     path = feature['location'].partition(':')[0]
     return f'{path}: {element["name"].partition(" -- @")[0]}'
 
 
 def read_known_red() -> dict[str, str]:
-    """Return cause and issue of each scenario that is known to fail.
+    """Return cause and issue of each known failure by scenario.
 
     Raises
     ------
     ValueError
-        When there are too many lines, or one lacks a part.
+        If there are too many lines, or one does not have three parts.
     """
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line]
     if len(lines) > KNOWN_RED_LIMIT:
         raise ValueError(
-            f'{len(lines)} known faults, {KNOWN_RED_LIMIT} may be'
+            f'KNOWN-RED.txt has {len(lines)} entries, limit {KNOWN_RED_LIMIT}'
         )
     known = {}
     for line in lines:
@@ -154,9 +156,9 @@
 
 
 def report_stale(names: set[str]) -> int:
-    """Print lines of KNOWN-RED.txt that name no scenario; count them."""
+    """Print and count entries of KNOWN-RED.txt without a scenario."""
     for name in sorted(names):
-        print(f'KNOWN-RED.txt names no scenario: {name}')
+        print(f'KNOWN-RED.txt: no such scenario: {name}')
     return len(names)
 
 
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,7 @@
-"""Randomized soak: real daemons as processes, faults from outside them.
+"""Randomized fault injection against real daemon processes.
 
-``python -m soak --seed N`` runs daemons, targets, callers and the stand-in
-store on loopback, injects a plan of faults that the seed determines, and
-checks the promises of docs/soak.md from what callers and targets saw.
+``python -m soak --seed N`` runs daemons, targets, callers and a stand-in
+store on loopback and injects a plan of faults that the seed determines.  It
+then checks the guarantees of docs/soak.md against what callers and targets
+recorded.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -23,32 +23,32 @@
     world = _world.World(folder, world_settings)
     try:
         await world.run()
-        broken = _checks.check_promises(world)
-        books = world.list_records(), world.ledger, world.disturbances
+        violations = _checks.check_guarantees(world)
+        results = world.list_records(), world.ledger, world.disturbances
         (folder / 'books.json').write_bytes(
-            msgspec.json.encode(books, enc_hook=vars)
+            msgspec.json.encode(results, enc_hook=vars)
         )
     finally:
         await world.stop()
     records = world.list_records()
-    good = sum(record.status == _checks.STATUS_OK for record in records)
+    succeeded = sum(record.status == _checks.STATUS_OK for record in records)
     faults = len(world.disturbances)
-    ends = len(world.ledger.ends_s)
-    return broken, (
-        f'{len(records)} calls, {good} good, {faults} faults,'
-        f' {ends} targets ended'
+    crashes = len(world.ledger.ends_s)
+    return violations, (
+        f'{len(records)} calls, {succeeded} good, {faults} faults,'
+        f' {crashes} targets ended'
     )
 
 
 def run_seed(
     folder: pathlib.Path, world_settings: _world.WorldSettings
 ) -> tuple[list[str], str]:
-    """Run one seed.
+    """Run the soak of one seed.
 
     Returns
     -------
     tuple
-        A line for each promise that was broken, and a summary.
+        A line for each violated guarantee, and a summary.
     """
     return asyncio.run(_run(folder, world_settings))
 
@@ -56,23 +56,32 @@
 @app.command()
 def main(
     seed: Annotated[int, typer.Option(help='First seed.')] = 1,
-    seeds: Annotated[int, typer.Option(help='How many seeds.')] = 1,
-    hosts: Annotated[int, typer.Option(help='Daemons.')] = 5,
-    seconds: Annotated[float, typer.Option(help='Time of faults.')] = 12.0,
-    callers: Annotated[int, typer.Option(help='Callers of each host.')] = 2,
+    seeds: Annotated[
+        int, typer.Option(help='Number of consecutive seeds.')
+    ] = 1,
+    hosts: Annotated[
+        int, typer.Option(help='Hosts, each with a daemon and a target.')
+    ] = 5,
+    seconds: Annotated[
+        float, typer.Option(help='Period in which faults start.')
+    ] = 12.0,
+    callers: Annotated[int, typer.Option(help='Callers per host.')] = 2,
     long_callers: Annotated[
-        int, typer.Option(help='Of each host, with long requests; 0: none.')
+        int,
+        typer.Option(help='Callers with long requests per host; 0 for none.'),
     ] = 2,
     keys: Annotated[
-        bool, typer.Option(help='Callers need keys; some forge them.')
+        bool, typer.Option(help='Require API keys; some callers forge them.')
     ] = False,
     keep: Annotated[
         pathlib.Path | None,
-        typer.Option(help='Keep the logs of broken seeds here.'),
+        typer.Option(help='Folder for the logs of seeds that fail.'),
     ] = None,
-    plan: Annotated[bool, typer.Option(help='Only show the plan.')] = False,
+    plan: Annotated[
+        bool, typer.Option(help='Only print the plan of faults.')
+    ] = False,
 ) -> None:
-    """Run seeds one after the other; status 1 when a promise is broken."""
+    """Run seeds in sequence; exit status 1 if any guarantee is violated."""
     failed = []
     for number in range(seed, seed + seeds):
         world_settings = _world.WorldSettings(
@@ -91,11 +100,11 @@
             continue
         with tempfile.TemporaryDirectory(prefix='soak-') as name:
             folder = pathlib.Path(name)
-            broken, summary = run_seed(folder, world_settings)
-            print(f'seed {number}: {summary}, {len(broken)} broken')
-            for line in broken:
+            violations, summary = run_seed(folder, world_settings)
+            print(f'seed {number}: {summary}, {len(violations)} broken')
+            for line in violations:
                 print(f'    {line}', flush=True)
-            if broken:
+            if violations:
                 failed.append(number)
                 if keep is not None:
                     keep.mkdir(parents=True, exist_ok=True)
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections open, and note how each request ended."""
+"""Callers that reuse connections and record how each request ended."""
 
 import http.client
 import random
@@ -14,19 +14,19 @@
 
 __all__ = ['CallRecord', 'Caller', 'ONCE_PATH', 'REPEATABLE_PATH']
 
-NAMES = platform.HEADERS
+HEADERS = platform.HEADERS
 REPEATABLE_PATH = '/read/'
 ONCE_PATH = '/once/'
 HOST_HEADER = 'soak.example'
 DEADLINE_MS = 1500
-#: Share of requests that may run once only.
+#: Share of requests that must run at most once.
 ONCE_SHARE = 0.4
-PAUSE_S = 0.02
-#: Pause after a refusal or a failure.
-RETURN_PAUSE_S = 0.1
-#: Of a caller that reads slowly: far less than an answer.
+REQUEST_PAUSE_S = 0.02
+#: Pause after a refused or failed request.
+FAILURE_PAUSE_S = 0.1
+#: Receive buffer of a slow reader, much smaller than a large answer.
 RECEIVE_BUFFER_BYTES = 8 * 1024
-PIECE_BYTES = 16 * 1024
+READ_BYTES = 16 * 1024
 
 
 class CallRecord(msgspec.Struct):
@@ -35,28 +35,31 @@
     Parameters
     ----------
     request_id : str
-        Of the request.
+        Id of the request.
     is_once : bool
-        Whether it may run once only.
+        Whether it must run at most once.
     host : str
-        Whose daemon was asked.
+        Host whose daemon received the request.
     path : str
-        Asked for.
+        Requested path.
     sent_s, done_s : float
-        Times of the monotonic clock.
+        When it was sent and when it ended, on the monotonic clock.
     status : int
-        Of the answer; 0 when there was none.
+        Status of the answer; 0 without one.
     is_own : bool
-        Whether a success carries the proof and the own body.
+        Whether the answer carries the proof, the id and the body that belong
+        to this request.
     deadline_ms, size_bytes : int
-        Stated by the caller, and least size of the answer.
+        Deadline that the caller states, and minimum size of the answer.
     end : str
-        Why there was no whole answer.
+        Why there was no complete answer.
     began_s, reading_s : float
-        When an answer began to arrive, its own or the one before it, and
-        the time that the caller takes by choice to read those.
+        When an answer began to arrive, its own or the one before it on the
+        connection, and the time that the caller deliberately spends on
+        reading those answers.
     key, workspace : str
-        Sent, and its holder; a key that nobody holds has none.
+        Key that was sent, and the workspace that owns it; empty for a forged
+        key.
     """
 
     request_id: str
@@ -77,59 +80,59 @@
 
     @property
     def is_forged(self) -> bool:
-        """Whether its key was never given out."""
+        """Whether its key was never issued."""
         return bool(self.key) and not self.workspace
 
 
 class Caller(threading.Thread):
-    """One caller of one host.
+    """Thread that sends requests to the daemon of one host.
 
     Parameters
     ----------
     name : str
-        Start of the ids of its requests.
+        Prefix of its request ids.
     daemon : Daemon
-        Asked.
+        Daemon that receives the requests.
     seed : int
-        Of its choices.
+        Seed of its random choices.
     """
 
-    #: Longest silence of a daemon that it bears.
-    patience_s = 8.0
+    #: Socket timeout: how long the daemon may send nothing.
+    receive_timeout_s = 8.0
 
     def __init__(self, name: str, daemon: _daemons.Daemon, seed: int):
         super().__init__(name=name, daemon=True)
         self.host_daemon = daemon
         self.records: list[CallRecord] = []
         self.is_stopping = False
-        #: Bytes read a second, 0 for as many as come, and time between a
-        #: request and one that is sent behind it.
-        self.rate, self.behind_s = 0, 0.0
-        #: None where no route needs a key.
-        self.keys: _keys.KeyRing | None = None
+        #: Reading rate, 0 for unlimited, and the delay between a request
+        #: and the next one pipelined on its connection.
+        self.read_bytes_per_s, self.pipeline_delay_s = 0, 0.0
+        #: None if no route requires a key.
+        self.keys: _keys.KeyChooser | None = None
         self._rng = random.Random(seed)
         self._socket: socket.socket | None = None
         self._stream = None
 
     def run(self) -> None:
-        """Ask again and again."""
+        """Send requests until the caller is stopped."""
         while not self.is_stopping:
-            records = self._choose()
+            records = self._choose_requests()
             try:
                 self._exchange(records)
             except (OSError, http.client.HTTPException) as error:
-                # No answer: nothing is promised.
-                self._drop()
+                # Without an answer no guarantee applies to the outcome.
+                self._disconnect()
                 for record in records:
                     record.end = repr(error)
             for record in records:
                 record.done_s = record.done_s or time.monotonic()
             self.records += records
-            is_good = all(record.status == 200 for record in records)
-            time.sleep(PAUSE_S if is_good else RETURN_PAUSE_S)
+            has_succeeded = all(record.status == 200 for record in records)
+            time.sleep(REQUEST_PAUSE_S if has_succeeded else FAILURE_PAUSE_S)
 
-    def _choose(self) -> list[CallRecord]:
-        """Choose what is asked next, one request behind the other."""
+    def _choose_requests(self) -> list[CallRecord]:
+        """Choose the requests of the next exchange, in pipeline order."""
         is_once = self._rng.random() < ONCE_SHARE
         path = ONCE_PATH if is_once else REPEATABLE_PATH
         return [self._make_record(0, is_once, path)]
@@ -139,63 +142,69 @@
         host, now_s = self.host_daemon.name, time.monotonic()
         record = CallRecord(name, is_once, host, path, now_s)
         if self.keys is not None:
-            sent = self.keys.choose()
-            record.key, record.workspace = sent.key, sent.workspace
+            sent_key = self.keys.choose_key()
+            record.key, record.workspace = sent_key.key, sent_key.workspace
         return record
 
     def _exchange(self, records: list[CallRecord]) -> None:
-        """Send requests, one behind the other, and read their answers."""
-        if self.rate:
-            # Only a new connection has a small window.
-            self._drop()
+        """Send pipelined requests and read their answers."""
+        if self.read_bytes_per_s:
+            # The receive buffer can only be reduced before connecting.
+            self._disconnect()
         if self._socket is None:
             self._connect()
         for record in records:
-            time.sleep(0 if record is records[0] else self.behind_s)
+            time.sleep(0 if record is records[0] else self.pipeline_delay_s)
             record.sent_s = time.monotonic()
-            self._socket.sendall(_encode(record))
+            self._socket.sendall(_encode_request(record))
         for record in records:
             record.began_s = records[0].began_s
             if self._socket is not None and not self._read(record):
-                self._drop()
+                self._disconnect()
 
     def _connect(self) -> None:
         self._socket = socket.socket()
         self._stream = self._socket.makefile('rb')
-        self._socket.settimeout(self.patience_s)
-        if self.rate:
+        self._socket.settimeout(self.receive_timeout_s)
+        if self.read_bytes_per_s:
             self._socket.setsockopt(
                 socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
             )
         self._socket.connect((self.host_daemon.address, _daemons.CALLERS_PORT))
 
     def _read(self, record: CallRecord) -> bool:
-        """Read an answer; say whether the connection stays open."""
-        line = self._stream.readline()
-        if not line.endswith(b'\r\n'):
-            raise http.client.RemoteDisconnected(f'after {line!r}')
+        """Read an answer; return whether the connection stays open."""
+        status_line = self._stream.readline()
+        if not status_line.endswith(b'\r\n'):
+            raise http.client.RemoteDisconnected(
+                f'incomplete status line {status_line!r}'
+            )
         record.began_s = time.monotonic()
         headers = http.client.parse_headers(self._stream)
-        left_bytes = int(headers['Content-Length'])
+        remaining_bytes = int(headers['Content-Length'])
         body = b''
-        while left_bytes:
-            piece = self._stream.read(min(PIECE_BYTES, left_bytes))
-            if not piece:
-                raise http.client.IncompleteRead(body, left_bytes)
-            body += piece
-            left_bytes -= len(piece)
-            time.sleep(len(piece) / self.rate if self.rate else 0)
-        record.status = int(line.split()[1])
+        while remaining_bytes:
+            chunk = self._stream.read(min(READ_BYTES, remaining_bytes))
+            if not chunk:
+                raise http.client.IncompleteRead(body, remaining_bytes)
+            body += chunk
+            remaining_bytes -= len(chunk)
+            time.sleep(
+                len(chunk) / self.read_bytes_per_s
+                if self.read_bytes_per_s
+                else 0
+            )
+        record.status = int(status_line.split()[1])
         record.done_s = time.monotonic()
         expected = f'answer to {record.request_id}'.encode()
         record.is_own = (
-            headers[NAMES.proof] is not None
-            and headers[NAMES.request_id] == record.request_id
+            headers[HEADERS.proof] is not None
+            and headers[HEADERS.request_id] == record.request_id
             and body == expected.ljust(record.size_bytes)
         )
         return headers['Connection'] != 'close'
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._socket is not None:
             self._stream.close()
             self._socket.close()
@@ -203,19 +212,19 @@
 
 
 def _encode_key(record: CallRecord) -> str:
-    """Encode a key, and a claim that is not to be believed."""
-    key = f'{_keys.SCHEME_FIELD}: {NAMES.key_scheme} {record.key}'
-    return f'{key}\r\n{NAMES.workspace}: claimed-by-caller'
+    """Encode a key and a workspace header that daemons must ignore."""
+    field = f'{_keys.KEY_HEADER}: {HEADERS.key_scheme} {record.key}'
+    return f'{field}\r\n{HEADERS.workspace}: claimed-by-caller'
 
 
-def _encode(record: CallRecord) -> bytes:
-    """Encode a request."""
+def _encode_request(record: CallRecord) -> bytes:
+    """Encode the request of a record."""
     method, body = ('POST', 'notes') if record.is_once else ('GET', '')
     lines = (
         f'{method} {record.path} HTTP/1.1',
         f'Host: {HOST_HEADER}',
-        f'{NAMES.request_id}: {record.request_id}',
-        f'{NAMES.deadline_ms}: {record.deadline_ms}',
+        f'{HEADERS.request_id}: {record.request_id}',
+        f'{HEADERS.deadline_ms}: {record.deadline_ms}',
         *([_encode_key(record)] if record.key else []),
         *([f'Content-Length: {len(body)}'] if body else []),
         f'\r\n{body}',
--- a/soak/_daemons.py
+++ b/soak/_daemons.py
@@ -1,4 +1,4 @@
-"""The daemons and the store as processes of their own."""
+"""Daemons and the stand-in store as child processes."""
 
 import asyncio
 import os
@@ -36,18 +36,18 @@
 
 
 def make_address(number: int) -> str:
-    """Make an address of this process's own on loopback."""
+    """Make a loopback address that differs between processes."""
     pid = os.getpid()
     return f'127.{64 + pid % 128}.{pid // 128 % 250}.{number + 1}'
 
 
 class _Process:
-    """A program that is started, signalled and started again."""
+    """Child process that can be started, signalled and restarted."""
 
     def __init__(self, folder: pathlib.Path, name: str):
         self.folder = folder
         self.name = name
-        #: Folder with the code that runs; the working one where it is None.
+        #: Folder with the code to run; None for the working directory.
         self.code_folder: pathlib.Path | None = None
         self.process: asyncio.subprocess.Process | None = None
 
@@ -65,30 +65,30 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process that was started, if it lives."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has exited."""
         if self.is_running:
             self.process.kill()
             await self.process.wait()
 
 
 class StoreProcess(_Process):
-    """The stand-in of the platform's store."""
+    """Stand-in for the store of the platform."""
 
     def __init__(self, folder: pathlib.Path, address: str):
         super().__init__(folder, 'store')
         self.address = address
 
     async def start(self) -> None:
-        """Start it, and wait until it listens."""
+        """Start the process; it listens shortly after."""
         await self._start(
             [
                 *('sedgering.cli.standin', 'platform'),
@@ -98,18 +98,18 @@
 
 
 class Daemon(_Process):
-    """One daemon with the links around it.
+    """One daemon with its links to peers and to the store.
 
     Parameters
     ----------
     folder : Path
-        Settings and logs.
+        Folder of settings and logs.
     number : int
-        Of the host; it has an address of its own.
+        Number of the host, which determines its address.
     target_set, data_centre : str
-        As in the settings of the platform.
+        Values in the settings file of the platform.
     store_address : str
-        Of the store.
+        Address of the store.
     mesh_settings : dict
         Settings of the request path.
     """
@@ -127,11 +127,11 @@
         self.address = make_address(number)
         self.target_set = target_set
         self.data_centre = data_centre
-        #: Width of its link, as it is told.
+        #: Link capacity in the settings file of the daemon.
         self.link_mbps = LINK_MBPS
-        #: Grows with each start.
+        #: Number of starts so far.
         self.lifetime = 0
-        #: Whether its steady clock can stand still.
+        #: Whether its monotonic clock can leave out suspensions.
         self.is_suspendable = True
         #: When it was last started, stopped, paused or resumed.
         self.disturbed_s = 0.0
@@ -150,7 +150,7 @@
         )
 
     async def start_links(self) -> None:
-        """Start the links, which outlive the daemon."""
+        """Start the links, which stay open when the daemon restarts."""
         await self.peer_link.start()
         await self.store_link.start()
 
@@ -173,7 +173,7 @@
         )
 
     async def suspend(self, for_s: float) -> None:
-        """Let its host be suspended, as its clocks show it."""
+        """Simulate a suspended host: stop the process and its clock."""
         self.signal(signal.SIGUSR1)
         self.signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Plans of faults: what happens when, as a seed determines."""
+"""Plans of faults and their times, determined by a seed."""
 
 from collections.abc import Iterator
 import enum
@@ -11,24 +11,25 @@
 
 __all__ = ['Fault', 'FaultKind', 'make_plan']
 
-#: Mean time between two faults, and the shortest and longest of one.
+#: Mean time between faults, and the range of their durations.
 MEAN_GAP_S = 0.7
-LEAST_S = 0.3
-MOST_S = 3.0
-#: The same of links that are throttled, and their least and greatest width.
-THROTTLE_GAP_S = 2.0
-#: Mean time between two suspensions of hosts.
-SUSPEND_GAP_S = 6.0
-#: When a request that ends targets comes first, as a share of the plan.
-FATAL_SHARE = 0.4
+MIN_DURATION_S = 0.3
+MAX_DURATION_S = 3.0
+#: Mean time between two throttled links.
+MEAN_THROTTLE_GAP_S = 2.0
+#: Mean time between two suspended hosts.
+MEAN_SUSPEND_GAP_S = 6.0
+#: Requests that crash targets start within this share of the plan.
+FATAL_START_SHARE = 0.4
+#: Range of the rate of a throttled link.
 THROTTLE_BYTES_PER_S = (60_000, 600_000)
-#: Share of faults that are followed by others at the same moment.
+#: Share of faults that start together with others, and their number.
 SERIES_SHARE = 0.25
-SERIES_LENGTH = 3
+FAULTS_PER_SERIES = 3
 
 
 class FaultKind(enum.Enum):
-    """What is done."""
+    """Kind of a fault."""
 
     KILL = 'kill'
     TERMINATE = 'terminate'
@@ -41,34 +42,36 @@
     TARGET_HABIT = 'target habit'
     THROTTLE = 'throttle'
     SUSPEND = 'suspend'
-    #: A request is asked under which targets end.
+    #: A request that crashes its targets is sent repeatedly.
     FATAL_REQUEST = 'fatal request'
-    #: A target has ended under it; in no plan.
+    #: A target has crashed on such a request; never planned.
     TARGET_ENDS = 'target ends'
 
 
-#: Planned work: none of it may cost a request.
-PLANNED = frozenset(
+#: Planned operations, which must not cause any request to fail.
+PLANNED_KINDS = frozenset(
     (FaultKind.TERMINATE, FaultKind.VERSION, FaultKind.TARGET_LEAVES)
 )
-#: Faults of the store alone cost no request.
+#: Faults of the store, which alone must not cause a request to fail.
 STORE_KINDS = frozenset((FaultKind.STORE, FaultKind.STORE_LINK))
-#: Faults by which a process does nothing from one moment to the next.
-HALTS = frozenset((FaultKind.KILL, FaultKind.PAUSE, FaultKind.SUSPEND))
-#: Faults that excuse no request that was lost.
-COSTLESS = STORE_KINDS | {FaultKind.THROTTLE, FaultKind.FATAL_REQUEST}
-#: Kinds of the first plans; those of later ones are drawn by themselves, so
-#: that a seed keeps its plan.
-_FIRST_KINDS = frozenset(FaultKind) - {
+#: Faults that stop a process without notice.
+HALTING_KINDS = frozenset((FaultKind.KILL, FaultKind.PAUSE, FaultKind.SUSPEND))
+#: Faults that do not explain a lost request.
+LOSSLESS_KINDS = STORE_KINDS | {FaultKind.THROTTLE, FaultKind.FATAL_REQUEST}
+#: Kinds drawn in the base plan.  The others use generators of their own, so
+#: that they do not change the base plan of a seed.
+_BASE_KINDS = frozenset(FaultKind) - {
     FaultKind.THROTTLE,
     FaultKind.SUSPEND,
     FaultKind.FATAL_REQUEST,
     FaultKind.TARGET_ENDS,
 }
-#: How much longer they last: longer than a daemon takes to leave.
-STORE_FACTOR = 3
-#: Share of plans that are planned work only, and of those with the store.
-PLANNED_SHARE = 0.2
+#: Store faults are longer by this factor, so that they outlast the shutdown
+#: of a daemon.
+STORE_DURATION_FACTOR = 3
+#: Share of plans with planned operations only, and also of plans with planned
+#: operations and store faults.
+PLANNED_PLAN_SHARE = 0.2
 _LINK_MODES = tuple(
     mode for mode in _links.LinkMode if mode is not _links.LinkMode.OPEN
 )
@@ -80,7 +83,7 @@
     for habit in testing.TargetHabit
     if habit is not testing.TargetHabit.SOUND
 )
-_DETAILS = {
+_DETAILS_BY_KIND = {
     FaultKind.PEER_LINK: _LINK_MODES,
     FaultKind.STORE_LINK: _LINK_MODES,
     FaultKind.STORE: _STORE_MODES,
@@ -89,21 +92,22 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault.
+    """One planned fault.
 
     Parameters
     ----------
     at_s : float
-        Seconds from the start of the plan.
+        Start time, from the start of the plan.
     kind : FaultKind
-        What is done.
+        Kind of the fault.
     host : int
-        Number of the host.
+        Number of the affected host.
     for_s : float
-        For how long, where that fits; until the start again of what ends.
+        Duration, for kinds that have one; for the crash of a target, the
+        time until its restart.
     detail : str
-        Mode of a link or of the store, habit of a target, or width of a
-        link in bytes a second.
+        Mode of a link or of the store, behaviour of a target, or rate of a
+        link in bytes per second.
     """
 
     at_s: float
@@ -114,26 +118,26 @@
 
     @property
     def is_planned(self) -> bool:
-        """Whether operators do so on purpose."""
-        return self.kind in PLANNED
+        """Whether it is a planned operation."""
+        return self.kind in PLANNED_KINDS
 
 
 def make_plan(
-    seed: int, hosts: int, seconds: float, has_later_kinds: bool = False
+    seed: int, hosts: int, seconds: float, has_extra_kinds: bool = False
 ) -> tuple[Fault, ...]:
     """Make the plan of a seed.
 
     Parameters
     ----------
     seed : int
-        The same seed makes the same plan.
+        Seed; the same one gives the same plan.
     hosts : int
-        Hosts of the mesh.
+        Number of hosts in the mesh.
     seconds : float
-        Faults begin within this time.
+        Period in which faults start.
     has_later_kinds : bool
-        Whether links between daemons are narrow at times, hosts are
-        suspended, and a request ends targets.
+        Whether links between daemons are throttled, hosts are suspended,
+        and a request crashes targets.
     """
     rng = random.Random(seed)
     kinds = _choose_kinds(rng)
@@ -142,63 +146,69 @@
     while True:
         at_s += rng.expovariate(1 / MEAN_GAP_S)
         if at_s >= seconds:
-            if has_later_kinds:
+            if has_extra_kinds:
                 plan += _make_throttles(seed, hosts, seconds)
-            if has_later_kinds and FaultKind.KILL in kinds:
-                # Plans without unplanned work may cost no request.
+            if has_extra_kinds and FaultKind.KILL in kinds:
+                # Plans of planned operations must not cause requests to fail.
                 plan += _make_suspensions(seed, hosts, seconds)
-                plan.append(_make_fatal(seed, seconds))
+                plan.append(_make_fatal_request(seed, seconds))
             return tuple(sorted(plan, key=lambda fault: fault.at_s))
         is_series = rng.random() < SERIES_SHARE
-        for _ in range(SERIES_LENGTH if is_series else 1):
+        for _ in range(FAULTS_PER_SERIES if is_series else 1):
             plan.append(_make_fault(rng, kinds, at_s, hosts))
 
 
 def _make_throttles(seed: int, hosts: int, seconds: float) -> Iterator[Fault]:
-    """Make the times at which links between daemons are narrow.
+    """Make the faults that throttle links between daemons.
 
-    They are drawn by themselves: the other faults of a seed stay.
+    They have a generator of their own and leave the base plan unchanged.
     """
     rng = random.Random(f'throttles {seed}')
-    at_s = rng.expovariate(1 / THROTTLE_GAP_S)
+    at_s = rng.expovariate(1 / MEAN_THROTTLE_GAP_S)
     while at_s < seconds:
-        host, for_s = rng.randrange(hosts), rng.uniform(LEAST_S, MOST_S)
-        rate = str(rng.randint(*THROTTLE_BYTES_PER_S))
-        yield Fault(at_s, FaultKind.THROTTLE, host, for_s, rate)
-        at_s += rng.expovariate(1 / THROTTLE_GAP_S)
+        host, for_s = (
+            rng.randrange(hosts),
+            rng.uniform(MIN_DURATION_S, MAX_DURATION_S),
+        )
+        bytes_per_s = str(rng.randint(*THROTTLE_BYTES_PER_S))
+        yield Fault(at_s, FaultKind.THROTTLE, host, for_s, bytes_per_s)
+        at_s += rng.expovariate(1 / MEAN_THROTTLE_GAP_S)
 
 
 def _make_suspensions(
     seed: int, hosts: int, seconds: float
 ) -> Iterator[Fault]:
-    """Make the times for which hosts are suspended, drawn by themselves."""
+    """Make the suspensions of hosts, from a generator of their own."""
     rng = random.Random(f'suspensions {seed}')
-    at_s = rng.expovariate(1 / SUSPEND_GAP_S)
+    at_s = rng.expovariate(1 / MEAN_SUSPEND_GAP_S)
     while at_s < seconds:
-        host, for_s = rng.randrange(hosts), rng.uniform(LEAST_S, MOST_S)
+        host, for_s = (
+            rng.randrange(hosts),
+            rng.uniform(MIN_DURATION_S, MAX_DURATION_S),
+        )
         yield Fault(at_s, FaultKind.SUSPEND, host, for_s)
-        at_s += rng.expovariate(1 / SUSPEND_GAP_S)
+        at_s += rng.expovariate(1 / MEAN_SUSPEND_GAP_S)
 
 
-def _make_fatal(seed: int, seconds: float) -> Fault:
-    """Make the time for which a request is asked that ends targets."""
+def _make_fatal_request(seed: int, seconds: float) -> Fault:
+    """Make the period in which a request that crashes targets is sent."""
     rng = random.Random(f'fatal {seed}')
-    at_s = rng.uniform(0, FATAL_SHARE * seconds)
+    at_s = rng.uniform(0, FATAL_START_SHARE * seconds)
     return Fault(at_s, FaultKind.FATAL_REQUEST, 0, seconds - at_s)
 
 
 def _choose_kinds(rng: random.Random) -> list[FaultKind]:
-    """Choose what a plan is made of.
+    """Choose the kinds of faults in a plan.
 
-    Some plans are planned work only, alone or with the store away, and may
-    cost no request.
+    Some plans consist of planned operations, with or without faults of the
+    store, and must not cause requests to fail.
     """
-    draw = rng.random()
-    kinds = _FIRST_KINDS
-    if draw < PLANNED_SHARE:
-        kinds = PLANNED
-    elif draw < 2 * PLANNED_SHARE:
-        kinds = PLANNED | STORE_KINDS
+    fraction = rng.random()
+    kinds = _BASE_KINDS
+    if fraction < PLANNED_PLAN_SHARE:
+        kinds = PLANNED_KINDS
+    elif fraction < 2 * PLANNED_PLAN_SHARE:
+        kinds = PLANNED_KINDS | STORE_KINDS
     return sorted(kinds, key=lambda kind: kind.value)
 
 
@@ -206,10 +216,10 @@
     rng: random.Random, kinds: list[FaultKind], at_s: float, hosts: int
 ) -> Fault:
     kind = rng.choice(kinds)
-    details = _DETAILS.get(kind)
-    for_s = rng.uniform(LEAST_S, MOST_S)
+    details = _DETAILS_BY_KIND.get(kind)
+    for_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
     if kind in STORE_KINDS:
-        for_s *= STORE_FACTOR
+        for_s *= STORE_DURATION_FACTOR
     return Fault(
         at_s,
         kind,
--- a/soak/_links.py
+++ b/soak/_links.py
@@ -1,4 +1,4 @@
-"""Loopback links that can be delayed, reset, cut one way or silenced."""
+"""Loopback links that can be delayed, reset, throttled or blocked."""
 
 import asyncio
 import contextlib
@@ -6,36 +6,36 @@
 
 __all__ = ['Link', 'LinkMode']
 
-CHUNK_BYTES = 64 * 1024
+READ_BYTES = 64 * 1024
 DELAY_S = 0.15
-#: Moved at a time by a link that is throttled.
-PIECE_BYTES = 4 * 1024
-#: Between two looks at whether a silent link is open again.
-LOOK_S = 0.02
+#: Unit of forwarding; a throttled link paces each chunk.
+PACED_CHUNK_BYTES = 4 * 1024
+#: Interval at which a blocked link checks its mode again.
+POLL_INTERVAL_S = 0.02
 
 
 class LinkMode(enum.Enum):
-    """How a link treats bytes."""
+    """How a link forwards bytes."""
 
     OPEN = 'open'
     DELAYED = 'delayed'
-    #: Connections are reset, and new ones as well.
+    #: Open and new connections are reset.
     RESET = 'reset'
-    #: Bytes wait in both directions; connections stay.
+    #: Bytes are held back in both directions; connections stay open.
     SILENT = 'silent'
-    #: Requests pass, and answers wait.
+    #: Requests are forwarded, answers are held back.
     ONE_WAY = 'one way'
 
 
 class Link:
-    """Forwards the connections of one port to another one.
+    """Forwards the connections of one port to another port.
 
     Parameters
     ----------
     address, port
-        Where to listen.
+        Address and port to listen on.
     target_address, target_port
-        Where to forward to.
+        Address and port to forward to.
     """
 
     def __init__(
@@ -46,28 +46,29 @@
         self.target_address = target_address
         self.target_port = target_port
         self.mode = LinkMode.OPEN
-        #: Width of each direction, for all connections; 0 for any.
+        #: Rate of each direction, shared by all connections; 0 for
+        #: unlimited.
         self.bytes_per_s = 0.0
-        #: When each direction will have moved what was read, by whether it
-        #: is the one of answers.
-        self._free_s = {False: 0.0, True: 0.0}
+        #: When each direction will have forwarded everything that was read;
+        #: the key says whether it is the direction of answers.
+        self._idle_at_s = {False: 0.0, True: 0.0}
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._serve, self.address, self.port
         )
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Treat bytes in another way from now on."""
+        """Change how bytes are forwarded from now on."""
         self.mode = mode
         if mode is LinkMode.RESET:
             self._reset_all()
 
     def close(self) -> None:
-        """End with all connections."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self._reset_all()
 
@@ -80,61 +81,65 @@
         try:
             if self.mode is LinkMode.RESET:
                 return
-            await self._wait_open(False)
-            far_reader, far_writer = await asyncio.open_connection(
+            await self._wait_until_open(False)
+            remote_reader, remote_writer = await asyncio.open_connection(
                 self.target_address, self.target_port
             )
-            self._writers.add(far_writer)
+            self._writers.add(remote_writer)
             try:
-                await self._join(reader, writer, far_reader, far_writer)
+                await self._forward_both(
+                    reader, writer, remote_reader, remote_writer
+                )
             finally:
-                self._writers.discard(far_writer)
-                far_writer.transport.abort()
+                self._writers.discard(remote_writer)
+                remote_writer.transport.abort()
         except OSError:
-            # The far end is down: the near end is reset, as its kernel
-            # would do.
+            # The remote end is down.  The client connection is reset, as
+            # the kernel of the remote end would do.
             return
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
 
-    async def _join(self, reader, writer, far_reader, far_writer) -> None:
-        pumps = [
-            asyncio.ensure_future(self._pump(reader, far_writer, False)),
-            asyncio.ensure_future(self._pump(far_reader, writer, True)),
+    async def _forward_both(
+        self, reader, writer, remote_reader, remote_writer
+    ) -> None:
+        forwarders = [
+            asyncio.ensure_future(self._forward(reader, remote_writer, False)),
+            asyncio.ensure_future(self._forward(remote_reader, writer, True)),
         ]
         _done, pending = await asyncio.wait(
-            pumps, return_when=asyncio.FIRST_COMPLETED
+            forwarders, return_when=asyncio.FIRST_COMPLETED
         )
-        # What was read already still arrives.
+        # Bytes that were already read are still delivered.
         if pending:
             await asyncio.wait(pending, timeout=2 * DELAY_S)
-        for pump in pumps:
-            pump.cancel()
-        await asyncio.gather(*pumps, return_exceptions=True)
+        for forwarder in forwarders:
+            forwarder.cancel()
+        await asyncio.gather(*forwarders, return_exceptions=True)
 
-    async def _pump(self, reader, writer, is_answer: bool) -> None:
+    async def _forward(self, reader, writer, is_answer: bool) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(CHUNK_BYTES):
+            while data := await reader.read(READ_BYTES):
                 if self.mode is LinkMode.DELAYED:
                     await asyncio.sleep(DELAY_S)
-                await self._wait_open(is_answer)
-                for start in range(0, len(data), PIECE_BYTES):
-                    piece = data[start : start + PIECE_BYTES]
-                    await self._wait_room(is_answer, len(piece))
-                    writer.write(piece)
+                await self._wait_until_open(is_answer)
+                for start in range(0, len(data), PACED_CHUNK_BYTES):
+                    chunk = data[start : start + PACED_CHUNK_BYTES]
+                    await self._wait_for_rate(is_answer, len(chunk))
+                    writer.write(chunk)
                     await writer.drain()
 
-    async def _wait_room(self, is_answer: bool, size_bytes: int) -> None:
+    async def _wait_for_rate(self, is_answer: bool, size_bytes: int) -> None:
         if not self.bytes_per_s:
             return
         now_s = asyncio.get_running_loop().time()
-        free_s = max(now_s, self._free_s[is_answer])
-        self._free_s[is_answer] = free_s + size_bytes / self.bytes_per_s
-        await asyncio.sleep(free_s - now_s)
+        idle_at_s = max(now_s, self._idle_at_s[is_answer])
+        self._idle_at_s[is_answer] = idle_at_s + size_bytes / self.bytes_per_s
+        await asyncio.sleep(idle_at_s - now_s)
 
-    async def _wait_open(self, is_answer: bool) -> None:
+    async def _wait_until_open(self, is_answer: bool) -> None:
         while self.mode is LinkMode.SILENT or (
             is_answer and self.mode is LinkMode.ONE_WAY
         ):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/soak/_probes.py
+++ b/soak/_probes.py
@@ -1,4 +1,4 @@
-"""Asks a daemon which version it has in force, and whether it is ready."""
+"""Probes of the version in force and of the readiness of a daemon."""
 
 import asyncio
 
@@ -15,7 +15,10 @@
 
 
 def make_path(version: int) -> str:
-    """Return the path of the route that a version adds."""
+    """Return the path of the route that a version adds.
+
+    Daemons answer on this path once that version is in force.
+    """
     return f'/v{version}/'
 
 
@@ -26,7 +29,7 @@
     body: bytes | None = None,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> transport.Response | None:
-    """Send one request on a connection of its own; None without answer."""
+    """Send a request on a new connection; return None without an answer."""
     request = transport.Request(
         'GET' if body is None else 'POST',
         path,
@@ -48,73 +51,73 @@
         transport.ExchangeFailed,
         TimeoutError,
     ):
-        # Expected: the other side is dead, paused or cut off.
+        # Expected if the server is down, paused or disconnected.
         return None
 
 
 class Probe:
-    """Follows the version in force of one daemon.
+    """Tracks the version in force at one daemon.
 
     Parameters
     ----------
     daemon : Daemon
-        Asked.
+        Daemon to probe.
 
     Attributes
     ----------
     version : int
-        Greatest version seen in force in the present lifetime.
-    broken : list of str
-        Where a daemon went back.
+        Highest version seen in force since the last start of the daemon.
+    regressions : list of str
+        Descriptions of versions that the daemon no longer has in force.
     """
 
     def __init__(self, daemon: _daemons.Daemon):
         self.daemon = daemon
         self.version = 0
-        self.broken: list[str] = []
+        self.regressions: list[str] = []
         self._lifetime = 0
-        self._number = 0
+        self._probe_count = 0
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Look again and again."""
+        """Start to probe the version periodically."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop probing."""
         if self._task is not None:
             self._task.cancel()
 
     async def is_ready(self) -> bool:
-        """Say whether the daemon takes new work."""
-        answer = await self._ask_readiness()
+        """Return whether the daemon accepts new requests."""
+        answer = await self._request_readiness()
         return answer is not None and answer.status == STATUS_OK
 
-    async def answers(self) -> bool:
-        """Say whether the daemon has started."""
-        return await self._ask_readiness() is not None
+    async def is_responding(self) -> bool:
+        """Return whether the daemon answers, ready or not."""
+        return await self._request_readiness() is not None
 
-    async def look(self, version: int) -> bool:
-        """Say whether a version is in force."""
+    async def probe_version(self, version: int) -> bool:
+        """Probe a version and return whether it is in force."""
         lifetime = self.daemon.lifetime
         if lifetime != self._lifetime:
             self._lifetime = lifetime
             self.version = 0
-        self._number += 1
-        request_id = f'{self.daemon.name}-p{self._number}'
+        self._probe_count += 1
+        request_id = f'{self.daemon.name}-p{self._probe_count}'
         answer = await ask(
             self.daemon.address,
             _daemons.CALLERS_PORT,
             make_path(version),
-            headers=((_callers.NAMES.request_id, request_id),),
+            headers=((_callers.HEADERS.request_id, request_id),),
         )
         if answer is None or lifetime != self.daemon.lifetime:
             return False
         is_missing = answer.status == STATUS_NO_ROUTE
         if is_missing and version <= self.version:
-            self.broken.append(
+            self.regressions.append(
                 f'{self.daemon.name} had version {self.version} in force, '
-                f'and lacks version {version}'
+                f'but now lacks version {version}'
             )
         if answer.status == STATUS_OK:
             self.version = max(self.version, version)
@@ -122,11 +125,11 @@
 
     async def _run(self) -> None:
         while True:
-            await self.look(max(1, self.version))
-            await self.look(self.version + 1)
+            await self.probe_version(max(1, self.version))
+            await self.probe_version(self.version + 1)
             await asyncio.sleep(INTERVAL_S)
 
-    async def _ask_readiness(self) -> transport.Response | None:
+    async def _request_readiness(self) -> transport.Response | None:
         return await ask(
             self.daemon.address, _daemons.READINESS_PORT, '/v1/ready'
         )
--- a/soak/_targets.py
+++ b/soak/_targets.py
@@ -1,4 +1,4 @@
-"""Targets beside the daemons: they report themselves, serve and leave."""
+"""Targets of the daemons, which register, serve requests and leave."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,46 +7,48 @@
 from sedgering import platform
 from sedgering import testing
 from sedgering import transport
+from soak import _crash_requests
 from soak import _daemons
-from soak import _fatal
 from soak import _keys
-from soak import _long
+from soak import _long_requests
 
 __all__ = ['Ledger', 'Target']
 
 SLOTS = 4
 NS_PER_MS = 1_000_000
 WORK_S = 0.03
-BEAT_S = 0.5
-BEAT_TIMEOUT_S = 1.0
-#: For how long a leaving target goes on serving after its acknowledgement.
-SERVE_ON_S = _daemons.DRAIN_S + 0.6
-#: Between two looks at whether a leaving target has ended its work.
-LOOK_S = 0.05
-#: Between the end of one target and the start of the next at its address.
-REUSE_AFTER_S = 0.5
-#: Between the end of a target under a request and its next lifetime.
-BACK_AFTER_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.5
+REPORT_TIMEOUT_S = 1.0
+#: How long a draining target keeps serving after the daemon acknowledged its
+#: state.
+DRAIN_SERVING_S = _daemons.DRAIN_S + 0.6
+#: Interval at which a draining target checks whether its work is done.
+POLL_INTERVAL_S = 0.05
+#: Time from the end of a target to the start of the next at its address.
+ADDRESS_REUSE_S = 0.5
+#: Time from the crash of a target to its restart.
+RESTART_AFTER_CRASH_S = 1.0
 
 
 class Ledger:
-    """What all targets ran.
+    """Records what all targets ran.
 
     Attributes
     ----------
     runs : dict
-        By the id of the request, the times at which it began to run.
+        Times at which a request began to run, by request id.
     answers : dict
-        By the id of the request, when a sound target last answered it, and
-        which one.
+        Time of the last answer by a target that behaves correctly, and the
+        id of that target, by request id.
     late_runs : list of str
-        Requests that reached a target too long after its acknowledgement.
+        Descriptions of requests that reached a target too long after the
+        daemon acknowledged that it is draining.
     ends_s : list of float
-        When targets ended under a request.
+        Times at which targets crashed on a request.
     workspaces : dict
-        By the id of the request, the workspaces that targets were told.
+        Workspaces in the headers that targets received, by request id.
     keys_seen : list of str
-        Requests with which a key reached a target.
+        Ids of requests that reached a target with their API key.
     """
 
     def __init__(self):
@@ -57,52 +59,54 @@
         self.workspaces: dict[str, list[str]] = {}
         self.keys_seen: list[str] = []
 
-    def note_fields(
+    def record_identity_headers(
         self, request_id: str, fields: list[tuple[str, str]]
     ) -> None:
-        """Note who asked, as a target was told."""
-        told = self.workspaces.setdefault(request_id, [])
+        """Record the workspace and any key in the headers of a request."""
+        workspaces = self.workspaces.setdefault(request_id, [])
         for name, value in fields:
             if name.lower() == platform.HEADERS.workspace.lower():
-                told.append(value)
-            if name.lower() == _keys.SCHEME_FIELD.lower():
+                workspaces.append(value)
+            if name.lower() == _keys.KEY_HEADER.lower():
                 self.keys_seen.append(request_id)
 
 
-class _Books(testing.TargetBooks):
-    """Books of one lifetime of a target."""
+class _TargetState(testing.TargetBooks):
+    """State and records of one lifetime of a target."""
 
     def __init__(self, target: str, ledger: Ledger):
         super().__init__(target)
         self.work_s = WORK_S
         self.ledger = ledger
-        self.left_s: float | None = None
-        #: Sizes of answers, by the id of the request.
+        #: When the daemon acknowledged that the target is draining.
+        self.acknowledged_s: float | None = None
+        #: Sizes of answers by request id.
         self.sizes_bytes: dict[str, int] = {}
 
     def note_run(self, request_id, line, headers, body) -> None:
-        """Note when a request began to run."""
+        """Record when a request began to run."""
         super().note_run(request_id, line, headers, body)
-        # The stand-in takes the time before anything else can run.
-        self.work_s, self.sizes_bytes[request_id] = _long.read_work(
+        # The stand-in reads `work_s` before another request can change it.
+        self.work_s, self.sizes_bytes[request_id] = _long_requests.decode_work(
             line, WORK_S
         )
         for fields in self.fields:
-            self.ledger.note_fields(request_id, fields)
-        # A soak runs for long.
+            self.ledger.record_identity_headers(request_id, fields)
+        # A long soak would otherwise accumulate the headers of all requests.
         self.fields.clear()
         now_s = time.monotonic()
         self.ledger.runs.setdefault(request_id, []).append(now_s)
-        if self.left_s is not None:
-            late_s = now_s - self.left_s
+        if self.acknowledged_s is not None:
+            late_s = now_s - self.acknowledged_s
             if late_s > _daemons.DRAIN_S:
                 self.ledger.late_runs.append(
-                    f'{request_id} at {self.target}, {late_s:.2f} s late'
+                    f'{request_id} reached {self.target} {late_s:.2f} s after '
+                    'its draining state was acknowledged'
                 )
 
 
 class _Connection(testing.TargetStandin):
-    """Answers each request at the size that it asks for."""
+    """Answers each request with the size that it asks for."""
 
     def _finish(self, request_id: str, habit: testing.TargetHabit) -> None:
         self.state.body_bytes = self.state.sizes_bytes[request_id]
@@ -113,14 +117,14 @@
 
 
 class Target:
-    """The target of one host, through all of its lifetimes.
+    """Target of one host across all of its lifetimes.
 
     Parameters
     ----------
     daemon : Daemon
-        Beside it.
+        Daemon of the same host.
     ledger : Ledger
-        Of all targets.
+        Record shared by all targets.
     """
 
     def __init__(self, daemon: _daemons.Daemon, ledger: Ledger):
@@ -129,82 +133,84 @@
         self.most_running = 0
         self.lifetime = 0
         self.is_leaving = False
-        self.books: _Books | None = None
+        self.books: _TargetState | None = None
         self._sequence = 0
-        self._born_ms = 0
+        self._started_at_ms = 0
         self._server: asyncio.Server | None = None
-        self._beats: asyncio.Task | None = None
-        self._return: asyncio.Task | None = None
-        #: Is told of each end under a request.
-        self.note_end: Callable[[], None] = _ignore
+        self._heartbeats: asyncio.Task | None = None
+        self._restart: asyncio.Task | None = None
+        #: Called after each crash on a request.
+        self.on_crash: Callable[[], None] = _do_nothing
 
     async def start(self) -> None:
         """Start a new lifetime."""
         self.lifetime += 1
         self._sequence = 0
-        self._born_ms = time.time_ns() // NS_PER_MS
+        self._started_at_ms = time.time_ns() // NS_PER_MS
         self.is_leaving = False
-        # Each other start keeps the id of the lifetime before.
+        # Every second start reuses the target id of the previous lifetime.
         number = (self.lifetime + 1) // 2
-        self.books = _Books(f'i-{self.daemon.name}-{number}', self.ledger)
-        self.books.fatal_urls = {_fatal.FATAL_PATH}
+        self.books = _TargetState(
+            f'i-{self.daemon.name}-{number}', self.ledger
+        )
+        self.books.fatal_urls = {_crash_requests.FATAL_PATH}
         self.books.end = self._crash
         self._server = await asyncio.get_running_loop().create_server(
             self._make_connection,
             self.daemon.address,
             _daemons.TARGET_PORT,
         )
-        self._beats = asyncio.ensure_future(self._beat())
+        self._heartbeats = asyncio.ensure_future(self._send_heartbeats())
 
     async def replace(self) -> None:
-        """Leave with an acknowledgement, and start anew."""
-        if self.is_leaving or self._return is not None:
+        """Drain, deregister and start a new lifetime."""
+        if self.is_leaving or self._restart is not None:
             return
         self.is_leaving = True
         self.books.is_leaving = True
-        if await self._send('heartbeat', 'draining'):
-            self.books.left_s = time.monotonic()
-        await asyncio.sleep(SERVE_ON_S)
+        if await self._send_report('heartbeat', 'draining'):
+            self.books.acknowledged_s = time.monotonic()
+        await asyncio.sleep(DRAIN_SERVING_S)
         while self.books.running:
-            await asyncio.sleep(LOOK_S)
-        await self._send('deregister', 'draining')
+            await asyncio.sleep(POLL_INTERVAL_S)
+        await self._send_report('deregister', 'draining')
         self.stop()
-        await asyncio.sleep(REUSE_AFTER_S)
+        await asyncio.sleep(ADDRESS_REUSE_S)
         await self.start()
 
     def stop(self) -> None:
-        """End this lifetime with its connections."""
+        """End this lifetime and reset its connections."""
         self.most_running = max(self.most_running, self.books.most_running)
-        self._beats.cancel()
+        self._heartbeats.cancel()
         self._server.close()
         self.books.reset_connections()
-        if self._return is not None:
-            self._return.cancel()
+        if self._restart is not None:
+            self._restart.cancel()
 
     def _crash(self) -> None:
-        """End this lifetime without a word."""
+        """End this lifetime without deregistering."""
         self.ledger.ends_s.append(time.monotonic())
-        self.note_end()
+        self.on_crash()
         self.stop()
         if not self.is_leaving:
-            self._return = asyncio.ensure_future(self._come_back())
+            self._restart = asyncio.ensure_future(self._restart_later())
 
-    async def _come_back(self) -> None:
-        await asyncio.sleep(BACK_AFTER_S)
-        self._return = None
+    async def _restart_later(self) -> None:
+        await asyncio.sleep(RESTART_AFTER_CRASH_S)
+        self._restart = None
         await self.start()
 
     def _make_connection(self) -> testing.TargetStandin:
         return _Connection(self.books)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             state = 'draining' if self.is_leaving else 'ready'
-            await self._send('heartbeat', state)
-            await asyncio.sleep(BEAT_S)
+            await self._send_report('heartbeat', state)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def _send(self, verb: str, state: str) -> bool:
-        """Report to the daemon; say whether it acknowledged."""
+    async def _send_report(self, verb: str, state: str) -> bool:
+        """Send a report; return whether the daemon acknowledged it."""
         self._sequence += 1
         request = testing.make_report(
             self.books.target,
@@ -213,12 +219,14 @@
             state,
             self._sequence,
             SLOTS,
-            self._born_ms,
+            self._started_at_ms,
         )
         try:
-            async with asyncio.timeout(BEAT_TIMEOUT_S):
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
                 connection = await transport.connect(
-                    self.daemon.address, _daemons.REPORTS_PORT, BEAT_TIMEOUT_S
+                    self.daemon.address,
+                    _daemons.REPORTS_PORT,
+                    REPORT_TIMEOUT_S,
                 )
                 try:
                     response = await connection.exchange(
@@ -231,10 +239,10 @@
             transport.ExchangeFailed,
             TimeoutError,
         ):
-            # A dead or paused daemon; the next heartbeat tries again.
+            # The daemon is down or paused; the next heartbeat tries again.
             return False
         return response.status == 200
 
 
-def _ignore() -> None:
-    """Tell nobody."""
+def _do_nothing() -> None:
+    """Default for `Target.on_crash`."""
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -1,4 +1,4 @@
-"""Everything that runs in one soak, and the faults that it is given."""
+"""Processes, targets and callers of one soak, and fault injection."""
 
 import asyncio
 import contextlib
@@ -14,47 +14,47 @@
 from sedgering import testing
 from sedgering import transport
 from soak import _callers
+from soak import _crash_requests
 from soak import _daemons
-from soak import _fatal
 from soak import _faults
 from soak import _keys
 from soak import _links
-from soak import _long
+from soak import _long_requests
 from soak import _probes
 from soak import _targets
 
 __all__ = ['Disturbance', 'World', 'WorldSettings']
 
 DATA_CENTRES = ('north', 'south')
-START_S = 30.0
-LOOK_S = 0.1
-#: Time after the last fault in which the mesh must recover: a daemon that
-#: died starts in a second, suspects rest for 4 s at most.
-SETTLE_S = 7.0
-CLOSING_S = 2.0
-RESTART_S = 0.2
+WAIT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.1
+#: Time after the last fault in which the mesh must recover: a killed daemon
+#: starts within a second, and a suspect is avoided for at most 4 s.
+RECOVERY_S = 7.0
+FINAL_LOAD_S = 2.0
+RESTART_DELAY_S = 0.2
 
 
 class WorldSettings(msgspec.Struct, frozen=True):
-    """How large a soak is.
+    """Size and options of a soak.
 
     Parameters
     ----------
     seed : int
-        Of the plan and of all choices.
+        Seed of the plan and of all random choices.
     hosts : int
-        Daemons, each with a target.
+        Number of hosts, each with a daemon and a target.
     seconds : float
-        Faults begin within this time.
+        Period in which faults start.
     callers : int
-        Of each host.
+        Number of callers per host.
     relay_from_hosts : int
-        Hosts from which on relays serve.
+        Number of hosts from which on relays are used.
     long_callers : int
-        Of each host; without them no link is narrow, no host is suspended,
-        and no request ends targets.
+        Number of callers with long requests per host.  With 0, no link is
+        throttled, no host is suspended, and no request crashes targets.
     has_keys : bool
-        Whether callers need keys; some send forged ones.
+        Whether routes require API keys; some callers send forged ones.
     """
 
     seed: int
@@ -67,14 +67,14 @@
 
 
 class Disturbance(msgspec.Struct):
-    """A fault while it lasts.
+    """Period in which a fault is active.
 
     Parameters
     ----------
     fault : Fault
-        What is done.
+        The active fault.
     start_s, end_s : float
-        Times of the monotonic clock.
+        Start and end on the monotonic clock; infinite until it ends.
     """
 
     fault: _faults.Fault
@@ -83,24 +83,24 @@
 
 
 class World:
-    """Daemons, targets, callers and the store of one soak.
+    """Daemons, targets, callers and the stand-in store of one soak.
 
     Parameters
     ----------
     folder : Path
-        Settings and logs.
+        Folder of settings and logs.
     world_settings : WorldSettings
-        Its size.
+        Size and options.
     """
 
     def __init__(self, folder: pathlib.Path, world_settings: WorldSettings):
         self.settings = world_settings
         self.ledger = _targets.Ledger()
         self.disturbances: list[Disturbance] = []
-        #: How daemons broke the promise to end in time.
-        self.bad_ends: list[str] = []
+        #: Descriptions of daemons that did not exit in time or failed.
+        self.bad_exits: list[str] = []
         self.version = 1
-        self.closing_s = 0.0
+        self.final_load_start_s = 0.0
         self.store = _daemons.StoreProcess(
             folder, _daemons.make_address(world_settings.hosts + 1)
         )
@@ -119,8 +119,10 @@
             _targets.Target(daemon, self.ledger) for daemon in self.daemons
         ]
         for number, target in enumerate(self.targets):
-            target.note_end = functools.partial(self._note_end, number)
-        self.fatal = _fatal.FatalCaller(world_settings.seed)
+            target.on_crash = functools.partial(self._record_crash, number)
+        self.crash_caller = _crash_requests.CrashRequestCaller(
+            world_settings.seed
+        )
         self.probes = [_probes.Probe(daemon) for daemon in self.daemons]
         rng = random.Random(world_settings.seed)
         self.callers = [
@@ -130,13 +132,13 @@
             for daemon in self.daemons
             for number in range(world_settings.callers)
         ]
-        # Drawn by itself, so that the other choices stay those of the seed.
+        # A separate generator leaves the other choices of the seed unchanged.
         rng = random.Random(f'long {world_settings.seed}')
         if world_settings.long_callers:
             for daemon in self.daemons:
-                daemon.link_mbps = rng.choice(_long.LINKS_MBPS)
+                daemon.link_mbps = rng.choice(_long_requests.LINK_RATES_MBPS)
         self.long_callers = [
-            _long.LongCaller(
+            _long_requests.LongCaller(
                 f'{daemon.name}-long-{number}', daemon, rng.randrange(1 << 30)
             )
             for daemon in self.daemons
@@ -145,44 +147,47 @@
         if world_settings.has_keys:
             for caller in (*self.callers, *self.long_callers):
                 seed = f'{world_settings.seed} {caller.name}'
-                caller.keys = _keys.KeyRing(seed)
-        self._busy: set[tuple] = set()
+                caller.keys = _keys.KeyChooser(seed)
+        self._active_keys: set[tuple] = set()
 
     def list_records(self) -> list[_callers.CallRecord]:
-        """List how the requests of all callers ended."""
+        """List the requests of all callers that have ended."""
         callers = (*self.callers, *self.long_callers)
         return [record for caller in callers for record in caller.records]
 
     async def run(self) -> None:
-        """Run the plan of the seed, and let the mesh recover."""
+        """Run the plan of the seed and wait for the mesh to recover."""
         await self._start()
-        size = self.settings
+        settings = self.settings
         plan = _faults.make_plan(
-            size.seed, size.hosts, size.seconds, size.long_callers > 0
+            settings.seed,
+            settings.hosts,
+            settings.seconds,
+            settings.long_callers > 0,
         )
         started_s = time.monotonic()
         tasks = []
         for fault in plan:
-            pause_s = started_s + fault.at_s - time.monotonic()
-            await asyncio.sleep(max(0.0, pause_s))
-            tasks.append(asyncio.ensure_future(self._carry_out(fault)))
+            delay_s = started_s + fault.at_s - time.monotonic()
+            await asyncio.sleep(max(0.0, delay_s))
+            tasks.append(asyncio.ensure_future(self._inject(fault)))
         await asyncio.gather(*tasks)
-        # What they have under way lasts no longer than the rest.
+        # Their requests under way end before the final load does.
         for caller in self.long_callers:
             caller.is_stopping = True
-        await asyncio.sleep(SETTLE_S)
-        self.closing_s = time.monotonic()
-        await asyncio.sleep(CLOSING_S)
+        await asyncio.sleep(RECOVERY_S)
+        self.final_load_start_s = time.monotonic()
+        await asyncio.sleep(FINAL_LOAD_S)
         for caller in self.callers:
             caller.is_stopping = True
         for caller in (*self.callers, *self.long_callers):
             await asyncio.to_thread(caller.join)
         await asyncio.gather(
-            *(probe.look(self.version) for probe in self.probes)
+            *(probe.probe_version(self.version) for probe in self.probes)
         )
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         for caller in (*self.callers, *self.long_callers):
             caller.is_stopping = True
         for probe in self.probes:
@@ -199,13 +204,18 @@
 
     async def _start(self) -> None:
         await self.store.start()
-        await _wait_for(self._write_version, 'the store to listen')
+        await _wait_for(
+            self._write_version,
+            'the store does not accept a version after its start',
+        )
         for daemon in self.daemons:
             await daemon.start_links()
             await daemon.start()
         for target in self.targets:
             await target.start()
-        await _wait_for(self._are_all_ready, 'all daemons to be ready')
+        await _wait_for(
+            self._are_all_ready, 'not all daemons are ready after their start'
+        )
         for worker in (*self.callers, *self.long_callers, *self.probes):
             worker.start()
 
@@ -215,55 +225,66 @@
         )
         return all(answers)
 
-    async def _carry_out(self, fault: _faults.Fault) -> None:
-        """Carry out a fault, unless one like it lasts there."""
+    async def _inject(self, fault: _faults.Fault) -> None:
+        """Inject a fault, unless a conflicting fault is active."""
         key = (fault.kind, fault.host)
         if fault.kind in _PROCESS_KINDS:
             key = ('process', fault.host)
         elif fault.kind is _faults.FaultKind.STORE:
             key = ('store',)
-        if key in self._busy:
+        if key in self._active_keys:
             return
-        self._busy.add(key)
+        self._active_keys.add(key)
         disturbance = Disturbance(fault, time.monotonic())
         self.disturbances.append(disturbance)
         try:
             await _ACTIONS[fault.kind](self, fault)
         finally:
             disturbance.end_s = time.monotonic()
-            self._busy.discard(key)
+            self._active_keys.discard(key)
 
     async def _kill(self, fault: _faults.Fault) -> None:
         daemon = self.daemons[fault.host]
         await daemon.kill()
-        await asyncio.sleep(RESTART_S)
-        await self._start_again(fault.host)
+        await asyncio.sleep(RESTART_DELAY_S)
+        await self._restart_daemon(fault.host)
 
     async def _terminate(self, fault: _faults.Fault) -> None:
-        await self.end_daemon(self.daemons[fault.host], _daemons.GRACE_S)
-        await self._start_again(fault.host)
+        await self.terminate_daemon(self.daemons[fault.host], _daemons.GRACE_S)
+        await self._restart_daemon(fault.host)
 
-    async def end_daemon(
+    async def terminate_daemon(
         self, daemon: _daemons.Daemon, grace_s: float
     ) -> None:
-        """Tell a daemon to leave; it is to end by itself within its grace."""
-        told_s = time.monotonic()
+        """Send SIGTERM and record if the daemon does not exit properly.
+
+        It must exit with status 0 within `grace_s`, and is killed after it.
+        """
+        signalled_s = time.monotonic()
         daemon.signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s):
                 await daemon.process.wait()
-        took_s = time.monotonic() - told_s
+        took_s = time.monotonic() - signalled_s
         await daemon.kill()
-        # The soak may learn late that it has ended; what was killed had not.
+        # The soak may notice late that the daemon has exited.  Only the
+        # signal in its status proves that it outlasted its grace time.
         if status := daemon.process.returncode:
-            what = 'outstayed its grace time,' if status < 0 else 'left'
-            self.bad_ends.append(
-                f'{daemon.name} {what} with {status} after {took_s:.2f} s'
+            problem = (
+                'was killed after its grace time with'
+                if status < 0
+                else 'exited with'
+            )
+            self.bad_exits.append(
+                f'{daemon.name} {problem} status {status} after {took_s:.2f} s'
             )
 
-    async def _start_again(self, host: int) -> None:
+    async def _restart_daemon(self, host: int) -> None:
         await self.daemons[host].start()
-        await _wait_for(self.probes[host].answers, 'a daemon to start')
+        await _wait_for(
+            self.probes[host].is_responding,
+            'a restarted daemon does not answer',
+        )
 
     async def _pause(self, fault: _faults.Fault) -> None:
         daemon = self.daemons[fault.host]
@@ -274,12 +295,12 @@
     async def _suspend(self, fault: _faults.Fault) -> None:
         await self.daemons[fault.host].suspend(fault.for_s)
 
-    async def _ask_fatal(self, fault: _faults.Fault) -> None:
-        await self.fatal.ask(self.daemons, fault.for_s)
+    async def _send_crash_requests(self, fault: _faults.Fault) -> None:
+        await self.crash_caller.send_repeatedly(self.daemons, fault.for_s)
 
-    def _note_end(self, host: int) -> None:
-        """Note that a target has ended under a request."""
-        for_s = _targets.BACK_AFTER_S
+    def _record_crash(self, host: int) -> None:
+        """Record that a target has crashed on a request."""
+        for_s = _targets.RESTART_AFTER_CRASH_S
         fault = _faults.Fault(0.0, _Kind.TARGET_ENDS, host, for_s)
         now_s = time.monotonic()
         self.disturbances.append(Disturbance(fault, now_s, now_s + for_s))
@@ -303,19 +324,21 @@
 
     async def _change_version(self, _fault: _faults.Fault) -> None:
         self.version += 1
-        await _wait_for(self._write_version, 'a version to be written')
+        await _wait_for(
+            self._write_version, 'the store does not accept a new version'
+        )
 
     async def _replace_target(self, fault: _faults.Fault) -> None:
         await self.targets[fault.host].replace()
 
-    async def _change_habit(self, fault: _faults.Fault) -> None:
+    async def _change_target_habit(self, fault: _faults.Fault) -> None:
         target = self.targets[fault.host]
         target.books.habit = testing.TargetHabit(fault.detail)
         await asyncio.sleep(fault.for_s)
         target.books.habit = testing.TargetHabit.SOUND
 
     async def _write_version(self) -> bool:
-        """Write the newest version; say whether the store answered."""
+        """Write the newest version; return whether the store accepted it."""
         is_long = self.settings.long_callers > 0
         document = _make_document(
             self.version, is_long, self.settings.has_keys
@@ -336,13 +359,20 @@
 
 
 def _make_document(version: int, is_long: bool, has_keys: bool) -> bytes:
-    """Make a version: its routes, and one for each version so far."""
+    """Make a version with the common routes and one per version so far."""
     common = {'host': _callers.HOST_HEADER, 'timeout': '1200ms'}
-    once = {**common, 'prefix': _callers.ONCE_PATH, 'kind': 'non_idempotent'}
-    routes = [{**common, 'prefix': _callers.REPEATABLE_PATH}, once]
+    once_route = {
+        **common,
+        'prefix': _callers.ONCE_PATH,
+        'kind': 'non_idempotent',
+    }
+    routes = [{**common, 'prefix': _callers.REPEATABLE_PATH}, once_route]
     if is_long:
-        later = (*_long.ROUTES, {**_fatal.ROUTE, **_PUBLIC})
-        routes += [{**common, **fields} for fields in later]
+        extra_routes = (
+            *_long_requests.ROUTES,
+            {**_crash_requests.ROUTE, **_PUBLIC},
+        )
+        routes += [{**common, **fields} for fields in extra_routes]
     routes += [
         {**common, **_PUBLIC, 'prefix': _probes.make_path(number)}
         for number in range(1, version + 1)
@@ -357,25 +387,25 @@
     link.set_mode(_links.LinkMode.OPEN)
 
 
-async def _wait_for(condition, what: str) -> None:
+async def _wait_for(condition, problem: str) -> None:
     """Wait until a condition holds.
 
     Raises
     ------
     TimeoutError
-        Names what did not come about.
+        If the condition does not hold in time; the text is `problem`.
     """
-    end_s = time.monotonic() + START_S
+    end_s = time.monotonic() + WAIT_TIMEOUT_S
     while not await condition():
         if time.monotonic() > end_s:
-            raise TimeoutError(what)
-        await asyncio.sleep(LOOK_S)
+            raise TimeoutError(problem)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-#: Fields of routes that need no key.
+#: Fields of routes that require no key.
 _PUBLIC = {'public': True}
 _Kind = _faults.FaultKind
-#: Faults of which a daemon bears one at a time.
+#: Faults of a daemon process, of which only one may be active at a time.
 _PROCESS_KINDS = frozenset(
     (_Kind.KILL, _Kind.TERMINATE, _Kind.PAUSE, _Kind.SUSPEND)
 )
@@ -388,8 +418,8 @@
     _Kind.STORE: World._break_store,
     _Kind.VERSION: World._change_version,
     _Kind.TARGET_LEAVES: World._replace_target,
-    _Kind.TARGET_HABIT: World._change_habit,
+    _Kind.TARGET_HABIT: World._change_target_habit,
     _Kind.THROTTLE: World._throttle,
     _Kind.SUSPEND: World._suspend,
-    _Kind.FATAL_REQUEST: World._ask_fatal,
+    _Kind.FATAL_REQUEST: World._send_crash_requests,
 }
