--- a/scripts/compile_daemon.py
+++ b/scripts/compile_daemon.py
@@ -21,7 +21,7 @@
 
 
 def encode_module(path: pathlib.Path) -> bytes:
-    """Compile a module to a file that is loaded without its source.
+    """Return the compiled form of a module, loadable without its source.
 
     Parameters
     ----------
--- a/soak/_daemons.py
+++ b/soak/_daemons.py
@@ -173,7 +173,11 @@
         )
 
     async def suspend(self, for_s: float) -> None:
-        """Simulate a suspended host: stop the process and its clock."""
+        """Simulate a suspended host.
+
+        SIGUSR1 makes the monotonic clock of the daemon leave out the time
+        until SIGCONT.
+        """
         self.signal(signal.SIGUSR1)
         self.signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
--- a/soak/_probes.py
+++ b/soak/_probes.py
@@ -80,7 +80,7 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Start to probe the version periodically."""
+        """Start probing the version periodically."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
--- a/soak/_targets.py
+++ b/soak/_targets.py
@@ -42,7 +42,7 @@
         id of that target, by request id.
     late_runs : list of str
         Descriptions of requests that reached a target too long after the
-        daemon acknowledged that it is draining.
+        daemon acknowledged that the target is draining.
     ends_s : list of float
         Times at which targets crashed on a request.
     workspaces : dict
