--- a/features/steps/access_daemon_steps.py
+++ b/features/steps/access_daemon_steps.py
@@ -151,7 +151,7 @@
     keyed.fleet.wait_for(
         lambda: (
             not any(
-                host.daemon.source.find_currency().is_current
+                host.daemon.source.find_freshness().is_current
                 for host in keyed.fleet.hosts.values()
             )
         )
@@ -264,7 +264,7 @@
         lambda: (
             sum(
                 not host.daemon.source.is_watching
-                and host.daemon.source.find_currency().is_current
+                and host.daemon.source.find_freshness().is_current
                 for host in keyed.fleet.hosts.values()
             )
             >= 3
@@ -318,7 +318,7 @@
     source = context.keyed.first.daemon.source
 
     async def note():
-        source.note_newer(base.Version(source.versions.version + 1))
+        source.note_peer_version(base.Version(source.versions.version + 1))
 
     context.keyed.fleet.run(note())
 
@@ -516,7 +516,10 @@
         *(_explain.explain_host(records, 'hall-1')),
         *(str(answer) for answer in keyed.answers),
         *(host.daemon.render_metrics().decode() for host in hosts),
-        *(repr(host.daemon.state.side.watch.records) for host in hosts),
+        *(
+            repr(host.daemon.state.target_client.watch.records)
+            for host in hosts
+        ),
         *(repr(host.daemon.state.config.snapshot.bundle) for host in hosts),
         *(repr(host.daemon.source.versions.newest) for host in hosts),
         *(repr(host.daemon.state.fleet.members) for host in hosts),
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -298,7 +298,9 @@
     step_stand_still(context)
     mesh = context.mesh
     del mesh.second.daemon.inbound.begin
-    mesh.second.daemon.state.side.run = lambda _call: asyncio.sleep(3600)
+    mesh.second.daemon.state.target_client.run = lambda _call: asyncio.sleep(
+        3600
+    )
 
 
 @given('the second host is the only one that does not refuse')
@@ -307,12 +309,12 @@
     mesh = context.mesh
     mesh.third = mesh.fleet.add_host('hall-3')
     mesh.fleet.wait_ready()
-    side = mesh.third.daemon.state.side
+    target_client = mesh.third.daemon.state.target_client
 
     async def refuse(call):
-        return side._refuse(call, _messages.RefusalReason.SHED, 100)
+        return target_client._refuse(call, _messages.RefusalReason.SHED, 100)
 
-    side.run = refuse
+    target_client.run = refuse
     # Makes the second host the first choice.
     peers = mesh.first.daemon.state.peers
     row = mesh.first.daemon.state.fleet.members['hall-3']
@@ -760,13 +762,13 @@
 
 
 async def _start_pauses(context):
-    store_return = _watch.StoreReturn()
-    context.pauses = [_watch.Pauses(store_return) for _ in range(4)]
-    for pauses in context.pauses:
-        pauses._pause_s = 3600.0
+    store_recovery = _watch.StoreRecovery()
+    context.backoffs = [_watch.RetryBackoff(store_recovery) for _ in range(4)]
+    for backoff in context.backoffs:
+        backoff._pause_s = 3600.0
     loop = asyncio.get_running_loop()
     context.waiting = [
-        loop.create_task(pauses.wait()) for pauses in context.pauses[:3]
+        loop.create_task(backoff.wait()) for backoff in context.backoffs[:3]
     ]
     # Let each task begin to wait.
     await asyncio.sleep(0)
@@ -774,7 +776,7 @@
 
 @when('one of them is answered')
 def step_answered(context):
-    context.pauses[3].reset()
+    context.backoffs[3].reset()
 
 
 @then('all three continue at once')
--- a/features/steps/search_steps.py
+++ b/features/steps/search_steps.py
@@ -59,7 +59,7 @@
     peers = mesh.PeerTable(mesh.MeshSettings())
     context.peer = peers.find(testing.make_member_row('h1'))
     load = mesh.LoadReport(running, waiting, slots, 100, 100)
-    peers.take_report(context.peer, load, SET, 1.0)
+    peers.record_report(context.peer, load, SET, 1.0)
 
 
 @then('{age:d} ms later it is {known} to be full')
@@ -159,7 +159,7 @@
     context.fleet.wait_ready()
     context.free = others[-1]
     for host in others[:full]:
-        gate = host.daemon.state.side.gate
+        gate = host.daemon.state.target_client.gate
         gate.running = gate.limit
 
 
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -182,9 +182,9 @@
     context.second = context.fleet.add_host('h1')
     context.fleet.configure(testing.make_document(1, [{}]))
     context.fleet.wait_ready()
-    context.first.daemon.source.take_members = lambda _news: None
+    context.first.daemon.source.merge_members = lambda _update: None
     watcher = context.first.daemon.source._member_watcher
-    watcher.post = lambda _news: None
+    watcher.post = lambda _update: None
 
 
 @when('the target of the second host is replaced by another lifetime')
@@ -233,7 +233,7 @@
 
 @then('the first host knows the new target')
 def step_knows(context):
-    rows = context.first.daemon.state.fleet.by_set['calendar']
+    rows = context.first.daemon.state.fleet.ready_by_set['calendar']
     assert [row.target for row in rows] == ['i-next'], rows
 
 
@@ -243,8 +243,8 @@
     context.stored = testing.make_member_row('h0', target='i-1')
     context.received = testing.make_member_row('h0', target='i-2')
     context.member_table.replace({'h0': context.stored})
-    assert context.member_table.take_told(context.received)
-    assert not context.member_table.take_told(context.received)
+    assert context.member_table.apply_reported_row(context.received)
+    assert not context.member_table.apply_reported_row(context.received)
 
 
 @then('that row is used while the stored one is unchanged')
@@ -255,7 +255,7 @@
         'h0': context.received,
         'h1': other,
     }
-    rows = context.member_table.by_set['calendar']
+    rows = context.member_table.ready_by_set['calendar']
     assert context.received in rows or other in rows
 
 
@@ -271,7 +271,7 @@
 @then('an answer of a host without a stored row is ignored')
 def step_row_ignored(context):
     context.member_table.replace({})
-    assert not context.member_table.take_told(context.received)
+    assert not context.member_table.apply_reported_row(context.received)
     assert not context.member_table.members
 
 
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -107,7 +107,7 @@
         watchers = (source._config_watcher, source._member_watcher)
         for number, watcher in enumerate(watchers):
             seed = 2 * self.seed + number
-            watcher.pauses._rng = random.Random(seed)
+            watcher.backoff._rng = random.Random(seed)
         self.daemon = mesh.make_mesh_daemon(
             mesh.MeshIdentity(HOST, base.DataCentre('hall'), TARGET_SET, 0),
             self.addresses,
@@ -138,12 +138,14 @@
         await self.start_daemon()
         self.report(1)
         await asyncio.sleep(SETTLE_S)
-        assert self.daemon.state.side.gate.is_open
+        assert self.daemon.state.target_client.gate.is_open
         self.carrier.lose()
         leaving = asyncio.create_task(self.daemon.leave(GRACE_MS))
         await asyncio.sleep(LEAVING_S / 2)
         if deregisters:
-            self.daemon.take_leave(self.daemon.state.side.target.lifetime)
+            self.daemon.take_leave(
+                self.daemon.state.target_client.target.lifetime
+            )
         await asyncio.sleep(LEAVING_S / 2)
         await self.daemon.close()
         await leaving
@@ -158,7 +160,7 @@
 
     async def was_open(self) -> bool:
         """Return whether the gate opens before the next report is due."""
-        gate = self.daemon.state.side.gate
+        gate = self.daemon.state.target_client.gate
         end_s = asyncio.get_running_loop().time() + REPORT_S
         while asyncio.get_running_loop().time() < end_s:
             if gate.is_open:
@@ -175,7 +177,7 @@
     await subject.leave(True)
     await subject.start_again(offset_s)
     was_open = await subject.was_open()
-    row = subject.daemon.state.side.row
+    row = subject.daemon.state.target_client.row
     await subject.daemon.close()
     return was_open, row
 
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -43,10 +43,10 @@
             self.target.leave(mesh.Lifetime(TARGET, int(born)))
         elif kind == 'down':
             self._take_report('ready', sequence, born)
-            self.target.note_down(mesh.Lifetime(TARGET, int(born)))
+            self.target.mark_crashed(mesh.Lifetime(TARGET, int(born)))
         elif kind == 'forgotten':
             self._take_report('ready', 2, born)
-            self.target.forget()
+            self.target.discard()
         else:
             self._take_report(kind, sequence, born)
 
@@ -58,9 +58,9 @@
             self.target.leave(lifetime)
             ended.add(lifetime)
         elif kind == 'misdirected':
-            self.target.forget()
+            self.target.discard()
         elif kind == 'probed':
-            self.target.settle_rival(lifetime.target, 0.0)
+            self.target.resolve_conflict(lifetime.target, 0.0)
         else:
             report = make_report(kind, counter, lifetime)
             self.target.take_report(report, 0.0)
@@ -157,7 +157,7 @@
     other = mesh.Lifetime(base.TargetName('i-2'), born)
     target = context.subject.target
     target.take_report(make_report('ready', 1, other), 0.0)
-    target.settle_rival(other.target, 0.0)
+    target.resolve_conflict(other.target, 0.0)
 
 
 @when('another id reports itself for the first time, born at {born:d}')
@@ -173,7 +173,7 @@
     assert target.is_open
     assert target.target == {'same': TARGET, 'other': 'i-2'}[which]
     # The other id is checked where it is not accepted.
-    assert (target.rival is not None) == (which == 'same')
+    assert (target.conflicting_report is not None) == (which == 'same')
 
 
 @given('a daemon that has learned about a target born at {born:d}')
@@ -184,7 +184,7 @@
     context.fleet.replace({row.host: row})
     peer = context.peers.find(row)
     load = mesh.LoadReport(2, 2, 1, 900, 900)
-    context.peers.take_report(peer, load, ROUTE, 0.0)
+    context.peers.record_report(peer, load, ROUTE, 0.0)
     peer.close(0.0, mesh.RefusalReason.LEAVING)
     peer.fail(0.0, 'test')
     context.old = peer
@@ -227,14 +227,14 @@
 @when('a daemon reports the same target born at {born:d}')
 def step_reported(context, born):
     row = testing.make_member_row('near', born_ms=born)
-    context.fleet.take_told(row)
+    context.fleet.apply_reported_row(row)
 
 
 @then('the member table has it born at {born:d}')
 def step_table_has(context, born):
     row = context.fleet.members['near']
     assert row.born_ms == born, row
-    assert context.fleet.by_set[SET] == (row,)
+    assert context.fleet.ready_by_set[SET] == (row,)
 
 
 @then('a member row without the start of its target is decoded')
@@ -250,11 +250,11 @@
 def step_row_way(context, born):
     row = testing.make_member_row('near', born_ms=born)
     entry = _members.MemberEntry(row.host, 7, row)
-    news = _relay.RelayNews(
-        True, 7, None, _members.MemberNews((entry,), 7, True)
+    update = _relay.RelayUpdate(
+        True, 7, None, _members.MemberUpdate((entry,), 7, True)
     )
-    found = _relay.decode_relay_news(_relay.encode_news(news))
-    assert found == news
+    found = _relay.decode_relay_update(_relay.encode_relay_update(update))
+    assert found == update
 
 
 @given('a gate that has learned of a slow target that refuses calls')
@@ -274,7 +274,7 @@
 
 @when('its target starts again')
 def step_gate_renewed(context):
-    context.gate.renew()
+    context.gate.reset_statistics()
 
 
 @then('its work times and failures are those of a new target')
@@ -381,7 +381,7 @@
 
 @given('its daemon has learned that its work takes {work_ms:d} ms')
 def step_learned_work(context, work_ms):
-    gate = context.mesh.first.daemon.state.side.gate
+    gate = context.mesh.first.daemon.state.target_client.gate
     for _ in range(20):
         gate.work.note(ROUTE, work_ms)
 
@@ -390,23 +390,25 @@
 def step_other_answers(context):
     subject = context.mesh
 
-    async def forget():
-        side = subject.first.daemon.state.side
-        side.target.forget()
-        side.refresh_gate()
+    async def discard():
+        target_client = subject.first.daemon.state.target_client
+        target_client.target.discard()
+        target_client.refresh_gate()
 
-    subject.fleet.run(forget())
+    subject.fleet.run(discard())
 
 
 @then('its daemon does not know how long its work takes')
 def step_work_unknown(context):
-    gate = context.mesh.first.daemon.state.side.gate
-    assert gate.work.find_told_ms(ROUTE) == 0, gate.work.find_told_ms(ROUTE)
+    gate = context.mesh.first.daemon.state.target_client.gate
+    assert gate.work.find_reported_ms(ROUTE) == 0, gate.work.find_reported_ms(
+        ROUTE
+    )
 
 
 @then('no place of the target is taken')
 def step_no_place(context):
-    gate = context.mesh.first.daemon.state.side.gate
+    gate = context.mesh.first.daemon.state.target_client.gate
     context.mesh.fleet.wait_for(lambda: not gate.running)
 
 
@@ -422,7 +424,7 @@
 def step_none_suspected(context):
     for host in context.mesh.fleet.hosts.values():
         assert not len(host.daemon.state.crashes)
-        assert not host.daemon.state.side.watch.records
+        assert not host.daemon.state.target_client.watch.records
 
 
 @given('two hosts with targets, and the store unavailable')
@@ -440,7 +442,7 @@
     second = context.hosts[1]
     second.books.is_leaving = True
     context.fleet.deregister(second)
-    assert not second.daemon.state.side.gate.is_open
+    assert not second.daemon.state.target_client.gate.is_open
     context.fleet.restart(second)
 
 
@@ -464,8 +466,8 @@
 
 @then('the gate before it opens')
 def step_gate_opens(context):
-    side = context.hosts[1].daemon.state.side
-    context.fleet.wait_for(lambda: side.gate.is_open)
+    target_client = context.hosts[1].daemon.state.target_client
+    context.fleet.wait_for(lambda: target_client.gate.is_open)
 
 
 @when('a late report of that target arrives')
@@ -475,10 +477,10 @@
 
 @then('the gate before it stays closed')
 def step_gate_closed(context):
-    side = context.hosts[1].daemon.state.side
+    target_client = context.hosts[1].daemon.state.target_client
     end_s = time.monotonic() + AT_ONCE_S
     while time.monotonic() < end_s:
-        assert not side.gate.is_open, side.target.report
+        assert not target_client.gate.is_open, target_client.target.report
         time.sleep(0.01)
 
 
@@ -519,7 +521,7 @@
             table.replace(members)
             fresh = _make_rollout_table()
             fresh.replace(members)
-            assert table.by_set == fresh.by_set, steps
+            assert table.ready_by_set == fresh.ready_by_set, steps
             assert table.trials == fresh.trials, steps
 
     check()
@@ -532,5 +534,5 @@
     order = rollout.Order(SET, base.SoftwareVersion('v2'), 9000, 7)
     row = rollout.Rollout(SET, 'v1', 'v2', 7, rollout.Stage.TRIAL, 0, 0)
     entry = _rollout_log.RolloutEntry(8, row)
-    table.rollouts.merge(_rollout_log.RolloutNews((order,), (entry,)))
+    table.rollouts.merge(_rollout_log.RolloutUpdate((order,), (entry,)))
     return table
--- a/features/steps/writer_steps.py
+++ b/features/steps/writer_steps.py
@@ -272,14 +272,14 @@
     limits = msgspec.to_builtins(transport.CallerLimits())
     version[4] = limits
     body = msgspec.msgpack.encode([True, 8, version, [entries, 8, False]])
-    news = _relay.decode_relay_news(transport.Response(200, [], body))
-    found = {entry.host: entry.row for entry in news.members.entries}
+    update = _relay.decode_relay_update(transport.Response(200, [], body))
+    found = {entry.host: entry.row for entry in update.members.entries}
     assert found.pop('b') is None
     assert {host: row.host for host, row in found.items()} == {
         'a': 'a',
         'c': 'c',
     }
-    assert news.is_fresh and news.version.version == 9
+    assert update.is_fresh and update.version.version == 9
 
 
 # Reports.
@@ -299,16 +299,22 @@
 
 def check_refused(context, target) -> None:
     """Send all reports of the table, and check that each is refused."""
-    side = context.mesh.first.daemon.state.side
-    before = side.target.report, side.target.rival
+    target_client = context.mesh.first.daemon.state.target_client
+    before = (
+        target_client.target.report,
+        target_client.target.conflicting_report,
+    )
     for row in context.table:
         answer = send_report(context, target, row['report'])
         assert answer.status == 400, (row, answer)
         found = json.loads(answer.body)
         assert found['code'] == int(row['code']), (row, found)
         assert found['error']
-        now = side.target.report, side.target.rival
-        assert now == before and side.gate.is_open, (row, now)
+        now = (
+            target_client.target.report,
+            target_client.target.conflicting_report,
+        )
+        assert now == before and target_client.gate.is_open, (row, now)
 
 
 @then(
@@ -358,7 +364,7 @@
 
 @then('that report is accepted')
 def step_accepted(context):
-    target = context.mesh.first.daemon.state.side.target
+    target = context.mesh.first.daemon.state.target_client.target
     assert target.report.state is mesh.TargetState.DRAINING
 
 
--- a/sedgering/mesh/__init__.py
+++ b/sedgering/mesh/__init__.py
@@ -8,16 +8,16 @@
 from sedgering.mesh._budget import RetryWindow
 from sedgering.mesh._callers import CallerTable
 from sedgering.mesh._choice import CallCosts
+from sedgering.mesh._choice import choose_local_first
 from sedgering.mesh._choice import choose_member
-from sedgering.mesh._choice import choose_near_first
-from sedgering.mesh._choice import WeightedTurns
+from sedgering.mesh._choice import WeightedRoundRobin
 from sedgering.mesh._config import AcceptedConfig
 from sedgering.mesh._config import ConfigHolder
 from sedgering.mesh._crash_records import CrashEvidence
 from sedgering.mesh._crash_records import CrashId
 from sedgering.mesh._crash_records import CrashRecord
+from sedgering.mesh._crashes import CrashStatus
 from sedgering.mesh._crashes import CrashTable
-from sedgering.mesh._crashes import Standing
 from sedgering.mesh._daemon import make_mesh_daemon
 from sedgering.mesh._daemon import MeshDaemon
 from sedgering.mesh._fleet import FleetTable
@@ -38,7 +38,7 @@
 from sedgering.mesh._messages import TargetReport
 from sedgering.mesh._messages import TargetState
 from sedgering.mesh._messages import UNKNOWN_BORN_MS
-from sedgering.mesh._pause import PauseWatch
+from sedgering.mesh._pause import PauseDetector
 from sedgering.mesh._peers import PeerTable
 from sedgering.mesh._rollout_store import RolloutStore
 from sedgering.mesh._settings import MeshSettings
@@ -59,6 +59,7 @@
     'CrashEvidence',
     'CrashId',
     'CrashRecord',
+    'CrashStatus',
     'CrashTable',
     'FleetTable',
     'Gate',
@@ -72,19 +73,18 @@
     'MeshIdentity',
     'MeshSettings',
     'MeshSource',
-    'PauseWatch',
+    'PauseDetector',
     'PeerTable',
     'RefusalReason',
     'RetryWindow',
     'RolloutStore',
-    'Standing',
     'TargetCall',
     'TargetReport',
     'TargetState',
-    'UNKNOWN_BORN_MS',
     'Ticket',
-    'WeightedTurns',
+    'UNKNOWN_BORN_MS',
+    'WeightedRoundRobin',
+    'choose_local_first',
     'choose_member',
-    'choose_near_first',
     'make_mesh_daemon',
 ]
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -8,15 +8,15 @@
 from sedgering.mesh import _choice
 from sedgering.mesh import _messages
 from sedgering.mesh import _peers
+from sedgering.mesh import _request_status
 from sedgering.mesh import _search
-from sedgering.mesh import _standing
 from sedgering.mesh import _state
 
 __all__ = ['CallParameters', 'TargetChooser']
 
 #: Share of the typical work time that must be left until the goal; with less,
 #: the goal counts as out of reach.
-HOPE_SHARE = 0.7
+FEASIBLE_GOAL_SHARE = 0.7
 #: Local hosts that are asked for a free slot before a remote one is
 #: considered: when half of the hosts are full, two probes find a free slot
 #: more often than not.
@@ -55,7 +55,7 @@
         Shared by all requests.
     call : CallParameters
         Properties of the request.
-    standing : KnownRequest
+    request_status : RequestStatus
         Crash evidence against the request.
     search : FreeSlotSearch
         Search for a target with a free slot.
@@ -65,12 +65,12 @@
         self,
         state: _state.RequestState,
         call: CallParameters,
-        standing: _standing.KnownRequest,
+        request_status: _request_status.RequestStatus,
         search: _search.FreeSlotSearch,
     ):
         self.state = state
         self.call = call
-        self.standing = standing
+        self.request_status = request_status
         self.search = search
         #: Hosts that refused because they had no free slot.
         self.busy_refusals = 0
@@ -90,9 +90,9 @@
 
     @property
     def _now_s(self) -> float:
-        return self.state.side.gate.now_s()
+        return self.state.target_client.gate.now_s()
 
-    def note_asked(self, host: base.HostId) -> None:
+    def record_attempt(self, host: base.HostId) -> None:
         """Record that an attempt goes to a host."""
         self.asked_hosts.append(host)
         self.tried.add(host)
@@ -100,14 +100,14 @@
 
     def choose(self) -> _peers.Peer | None:
         """Choose the target of the next attempt; None when there is none."""
-        if not self.asked_hosts and not self.standing.is_suspect:
+        if not self.asked_hosts and not self.request_status.is_suspect:
             peer = self._choose_exposed()
             if peer is not None:
                 return peer
         hops = len(self.asked_hosts) - self.uncounted_hops - self.busy_refusals
         if hops >= self.state.mesh_settings.hops_limit:
             return None
-        if self.standing.is_suspect:
+        if self.request_status.is_suspect:
             self.search.end(False)
             return self._choose_trial_target()
         if self.search.is_on:
@@ -145,10 +145,10 @@
         All daemons choose the same target, so that a request that crashes
         targets crashes one after the other, never several at once.
         """
-        peer = _choice.choose_trial_place(
-            self.state.fleet.by_set.get(self.call.target_set, ()),
+        peer = _choice.choose_suspect_target(
+            self.state.fleet.ready_by_set.get(self.call.target_set, ()),
             self.state.peers,
-            self.standing.fingerprint,
+            self.request_status.fingerprint,
             self._now_s,
         )
         is_tried = peer is not None and peer.row.host in self.tried
@@ -182,7 +182,7 @@
 
     def _choose_untried(self) -> _peers.Peer | None:
         """Choose among the hosts that have not been tried."""
-        members = self.state.fleet.by_set.get(self.call.target_set, ())
+        members = self.state.fleet.ready_by_set.get(self.call.target_set, ())
         near, far = _choice.split_candidates(
             members, self.state.identity.data_centre, self.state.rng
         )
@@ -208,11 +208,11 @@
         busy = None
         if self.search.is_on and self.search.probes >= LOCAL_PROBES_LIMIT:
             busy = self._choose_shortest_wait()
-        peer = _choice.choose_near_first(
+        peer = _choice.choose_local_first(
             near, far, self.tried, self.make_costs(), self.state.rng, busy
         )
         if peer is None and busy is None:
-            members = self.state.fleet.by_set[self.call.target_set]
+            members = self.state.fleet.ready_by_set[self.call.target_set]
             return self._choose_among(members)
         return peer
 
@@ -225,22 +225,22 @@
         """
         if self.call.urgency is _messages.CallUrgency.TARGET:
             return far
-        is_short = self.state.centres.is_short
+        is_saturated = self.state.centres.is_saturated
         now_s = self._now_s
         own = self.state.identity.data_centre
-        if not is_short(self.call.target_set, own, now_s):
+        if not is_saturated(self.call.target_set, own, now_s):
             return far
         return [
             row
             for row in far
-            if not is_short(self.call.target_set, row.data_centre, now_s)
+            if not is_saturated(self.call.target_set, row.data_centre, now_s)
         ]
 
     def _choose_sampled(
         self, members: Sequence[_messages.MemberRow]
     ) -> _peers.Peer | None:
         """Choose among a sample of a target set from all data centres."""
-        candidates = _choice.draw_candidates(
+        candidates = _choice.sample_candidates(
             members, self.state.identity.data_centre, self.state.rng
         )
         peer = self._choose_among(candidates)
@@ -279,4 +279,4 @@
         """Return the time left until the goal; 0 when it cannot be met."""
         goal_ms = int((self.call.goal_s - now_s) * 1000)
         typical_ms = self.state.peers.typical_work_ms(self.call.route)
-        return goal_ms if goal_ms > typical_ms * HOPE_SHARE else 0
+        return goal_ms if goal_ms > typical_ms * FEASIBLE_GOAL_SHARE else 0
--- a/sedgering/mesh/_crashes.py
+++ b/sedgering/mesh/_crashes.py
@@ -28,7 +28,7 @@
 from sedgering.mesh import _messages
 from sedgering import transport
 
-__all__ = ['CrashTable', 'Standing']
+__all__ = ['CrashStatus', 'CrashTable']
 
 LOG = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
 UNKNOWN_CRASH = -1
 
 
-class Standing(enum.Enum):
+class CrashStatus(enum.Enum):
     """Whether a request may run."""
 
     #: No crash is known, or a target has answered the request since.
@@ -159,14 +159,14 @@
         fingerprint = self.make_fingerprint(request)
         return fingerprint if fingerprint in self._entries else None
 
-    def find_standing(self, fingerprint: base.Fingerprint) -> Standing:
+    def find_status(self, fingerprint: base.Fingerprint) -> CrashStatus:
         """Return whether a request may run."""
         entry = self._entries.get(fingerprint)
         if entry is None or not entry.crash_count:
-            return Standing.SOUND
+            return CrashStatus.SOUND
         if entry.crash_count < self.limit or self.now_s() >= entry.retry_s:
-            return Standing.SUSPECT
-        return Standing.QUARANTINED
+            return CrashStatus.SUSPECT
+        return CrashStatus.QUARANTINED
 
     def count_crashes(self, fingerprint: base.Fingerprint) -> int:
         """Return the number of crashes that count against a request."""
@@ -198,7 +198,7 @@
         entry = self._entries.get(fingerprint)
         return max(0.0, entry.retry_s - self.now_s()) if entry else 0.0
 
-    def take_row(self, row: _messages.MemberRow) -> None:
+    def add_row(self, row: _messages.MemberRow) -> None:
         """Add the recent crashes that a member row reports.
 
         Old records are skipped: a row may not have been written for a month.
@@ -206,16 +206,16 @@
         now_ms = clock.wall_ms()
         for record in row.crashes:
             if abs(now_ms - record.ended_ms) <= RETENTION_S * 1000:
-                self.take_record(record)
+                self.add_record(record)
 
-    def take_record(self, record: _crash_records.CrashRecord) -> None:
+    def add_record(self, record: _crash_records.CrashRecord) -> None:
         """Add the crash of a target."""
         for fingerprint in record.suspects:
             was_trial = fingerprint in record.trials
             evidence = _crash_records.CrashEvidence(record.crash, was_trial)
-            self.blame(fingerprint, (evidence,))
+            self.add_crashes(fingerprint, (evidence,))
 
-    def blame(
+    def add_crashes(
         self,
         fingerprint: base.Fingerprint,
         crashes: Iterable[_crash_records.CrashEvidence],
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -9,10 +9,11 @@
 
 from sedgering import base
 from sedgering import exceptions
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _backlog
 from sedgering.mesh import _budget
 from sedgering.mesh import _config
+from sedgering.mesh import _crash_notice
 from sedgering.mesh import _crash_records
 from sedgering.mesh import _decisions
 from sedgering.mesh import _fleet
@@ -20,21 +21,20 @@
 from sedgering.mesh import _gate
 from sedgering.mesh import _inbound
 from sedgering.mesh import _link
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
-from sedgering.mesh import _notice
 from sedgering.mesh import _outbound
 from sedgering.mesh import _pause
 from sedgering.mesh import _peers
 from sedgering.mesh import _probe
 from sedgering.mesh import _relay
 from sedgering.mesh import _rollout_driver
-from sedgering.mesh import _room
 from sedgering.mesh import _settings
 from sedgering.mesh import _shutdown_log
 from sedgering.mesh import _source
 from sedgering.mesh import _state
 from sedgering.mesh import _target
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import ports
 from sedgering import transport
 
@@ -97,24 +97,24 @@
         self.addresses = addresses
         self.state = state
         self.source = source
-        self.pause = _pause.PauseWatch()
+        self.pause = _pause.PauseDetector()
         self.outbound = _outbound.OutboundService(state, self.pause)
         self.inbound = _inbound.InboundService(
-            state.side,
-            source.note_newer,
+            state.target_client,
+            source.note_peer_version,
             self.pause,
-            _relay.RelayDesk(source),
+            _relay.PollHandler(source),
             state.quotas,
         )
         self.follower = _follow.RelayFollower(
             identity, state.fleet, state.peers, source
         )
-        self.inbound.pacer = state.side.answer_room.pacer
-        state.side.link.watch(self.inbound, self.outbound)
+        self.inbound.pacer = state.target_client.answer_admission.pacer
+        state.target_client.link.watch(self.inbound, self.outbound)
         self.backlog = _backlog.AnswerBacklog(
-            self.inbound, state.side.answer_room
+            self.inbound, state.target_client.answer_admission
         )
-        self.leave_log = _shutdown_log.ShutdownLog(
+        self.shutdown_log = _shutdown_log.ShutdownLog(
             self.outbound, self.inbound, self.pause, state.decisions.counts
         )
         self.rollouts = _rollout_driver.RolloutDriver(
@@ -126,8 +126,8 @@
         #: `_needs_confirmation`.
         self._unconfirmed_report: _messages.TargetReport | None = None
         self.is_leaving = False
-        state.side.watch.on_end = self._send_crash_notices
-        state.find_currency = source.find_currency
+        state.target_client.watch.on_crash = self._send_crash_notices
+        state.find_freshness = source.find_freshness
         self._servers: list[asyncio.AbstractServer] = []
         self._tasks: list[asyncio.Task] = []
 
@@ -165,8 +165,8 @@
         self._tasks = [
             loop.create_task(self._find_target()),
             loop.create_task(
-                self.state.side.gate_log.run(
-                    self.state.side.gate, self.backlog
+                self.state.target_client.gate_log.run(
+                    self.state.target_client.gate, self.backlog
                 )
             ),
             loop.create_task(self.follower.run()),
@@ -174,7 +174,7 @@
         if self.source.rollout_store is not None:
             self._tasks.append(loop.create_task(self.rollouts.run()))
         self.source.start(
-            self.take_config, self.take_members, self.take_rollouts
+            self.apply_config, self.merge_members, self.merge_rollouts
         )
         LOG.info('started', extra={'detail': f'{own.address}'})
 
@@ -183,12 +183,12 @@
         await asyncio.sleep(FIRST_REPORT_WAIT_S)
         while not self.is_ready:
             await asyncio.sleep(FIRST_REPORT_WAIT_S)
-        side = self.state.side
+        target_client = self.state.target_client
         path = self.state.config.health_paths.get(self.identity.target_set)
-        if side.target.report is not None or not path:
+        if target_client.target.report is not None or not path:
             return
         report = await self._probe_target(path)
-        if report is None or side.target.report is not None:
+        if report is None or target_client.target.report is not None:
             return
         if report.state is not _messages.TargetState.READY:
             LOG.info('target is not ready', extra={'target': report.target})
@@ -208,7 +208,7 @@
 
     async def _probe_target(self, path: str) -> _messages.TargetReport | None:
         return await _probe.probe_target(
-            self.state.side.pool,
+            self.state.target_client.pool,
             path,
             self.state.names,
             self.identity.target_set,
@@ -218,10 +218,12 @@
         """Check which of two lifetimes answers at the target address."""
         path = self.state.config.health_paths.get(self.identity.target_set)
         answer = await self._probe_target(path) if path else None
-        side = self.state.side
+        target_client = self.state.target_client
         current = answer.target if answer else None
-        if side.target.settle_rival(current, side.gate.now_s()):
-            side.note_lifetime()
+        if target_client.target.resolve_conflict(
+            current, target_client.gate.now_s()
+        ):
+            target_client.handle_new_lifetime()
             self._publish_target()
 
     def _check_peers(self, now_s: float) -> None:
@@ -229,27 +231,27 @@
         if self.pause.find_lag_s():
             return
         peers = self.state.peers
-        for peer in peers.list_unheard(now_s):
-            self._start_task(peer.ask_for_life())
-        peers.abandon_silent(now_s)
+        for peer in peers.list_silent(now_s):
+            self._start_task(peer.ping())
+        peers.mark_silent(now_s)
 
-    def take_config(self, config: _config.AcceptedConfig) -> None:
+    def apply_config(self, config: _config.AcceptedConfig) -> None:
         """Apply a configuration version unless it is outdated."""
         if self.state.config.apply(config):
             routes = config.bundle.routes
-            self.state.turns.retain(routes)
+            self.state.route_weights.retain(routes)
             names = frozenset(route.name for route in routes)
             self.state.callers.retain(names)
             self.state.peers.retain_routes(names)
-            self.state.side.gate.work.retain(names)
-            self.state.side.answer_room.retain(names)
+            self.state.target_client.gate.work.retain(names)
+            self.state.target_client.answer_admission.retain(names)
             target_sets = frozenset(
                 item.name for item in config.bundle.target_sets
             )
-            self.state.levels.retain(target_sets)
+            self.state.admission.retain(target_sets)
             self.state.centres.retain(target_sets)
-            self.state.quotas.take_config(config.bundle.workspaces)
-            self.state.side.speed.retain(names)
+            self.state.quotas.set_workspaces(config.bundle.workspaces)
+            self.state.target_client.speed.retain(names)
         self._note_ready()
 
     def _note_ready(self) -> None:
@@ -257,51 +259,51 @@
         if self.is_ready:
             self.state.start.end()
 
-    def take_members(
+    def merge_members(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> None:
         """Replace the member table."""
         if not self.state.fleet.is_known and self.identity.host in members:
             own = members[self.identity.host]
-            self.state.side.watch.restore(own.crashes)
+            self.state.target_client.watch.restore(own.crashes)
         for row in members.values():
             if row.crashes:
-                self.state.crashes.take_row(row)
+                self.state.crashes.add_row(row)
         new = self.state.fleet.replace(members)
         self.state.peers.retain(frozenset(members))
         for row in new:
             self.state.note_started(row)
         self.state.budget.daemons = max(1, len(members))
-        self.state.quotas.take_members(self.state.fleet.members)
+        self.state.quotas.set_members(self.state.fleet.members)
         self._update_permit()
         self.follower.note_members_known()
         self._note_ready()
 
-    def take_rollouts(self) -> None:
+    def merge_rollouts(self) -> None:
         """Apply changed orders and rollouts."""
         rollouts = self.source.rollouts
-        self.state.fleet.note_rollouts()
+        self.state.fleet.reindex()
         self.state.exposure.retain(rollouts.list_trials())
         self._update_permit()
         self._note_ready()
 
     def _update_permit(self) -> None:
         """Open or close the gate as rollouts permit the target version."""
-        side = self.state.side
-        report = side.target.report
+        target_client = self.state.target_client
+        report = target_client.target.report
         if report is None:
             return
         entry = self.source.rollouts.find_entry(report.target_set)
-        side.version_trial.follow(
+        target_client.version_trial.follow(
             entry.rollout if entry else None, report.version
         )
         may_run = self.state.fleet.may_run(report.target_set, report.version)
         if (
-            may_run is not side.is_permitted
-            or side.version_trial.has_just_changed()
+            may_run is not target_client.is_permitted
+            or target_client.version_trial.has_just_changed()
         ):
-            side.is_permitted = may_run
-            side.refresh_gate()
+            target_client.is_permitted = may_run
+            target_client.refresh_gate()
 
     def take_report(self, report: _messages.TargetReport) -> None:
         """Process a report of the local target.
@@ -315,15 +317,15 @@
         self.check_lifetime(report.lifetime)
         if self._needs_confirmation(report):
             return
-        now_s = self.state.side.gate.now_s()
-        target = self.state.side.target
-        had_rival = target.rival is not None
+        now_s = self.state.target_client.gate.now_s()
+        target = self.state.target_client.target
+        had_conflict = target.conflicting_report is not None
         is_changed = target.take_report(report, now_s)
-        self.state.side.note_lifetime()
+        self.state.target_client.handle_new_lifetime()
         if is_changed:
             self._update_permit()
             self._publish_target()
-        if target.rival is not None and not had_rival:
+        if target.conflicting_report is not None and not had_conflict:
             self._start_task(self._resolve_address_conflict())
 
     def _start_task(self, work: Coroutine) -> None:
@@ -343,7 +345,7 @@
         """
         is_first = report.sequence <= _target.FIRST_SEQUENCE
         is_ready = report.state is _messages.TargetState.READY
-        is_present = self.state.side.target.report is not None
+        is_present = self.state.target_client.target.report is not None
         if is_first or is_present or not is_ready:
             return False
         earlier, self._unconfirmed_report = self._unconfirmed_report, report
@@ -361,7 +363,7 @@
         ReportError
             When it has no start time although the target has reported one.
         """
-        current = self.state.side.target.lifetime
+        current = self.state.target_client.target.lifetime
         if (
             current is not None
             and lifetime.target == current.target
@@ -385,12 +387,12 @@
 
     def take_leave(self, lifetime: _messages.Lifetime) -> None:
         """Record that the local target has deregistered."""
-        if self.state.side.target.leave(lifetime):
+        if self.state.target_client.target.leave(lifetime):
             self._publish_target()
 
     def render_metrics(self) -> bytes:
         """Return counters and gauges in the metrics text format."""
-        gate = self.state.side.gate
+        gate = self.state.target_client.gate
         callers = self.outbound.find_load()
         return self.state.decisions.counts.render(
             {
@@ -425,31 +427,31 @@
             return
         rows = [
             row
-            for row in self.state.fleet.by_set.get(self._target_set, ())
+            for row in self.state.fleet.ready_by_set.get(self._target_set, ())
             if row.host != self.identity.host
         ]
         if len(rows) > CRASH_NOTICES_LIMIT:
             rows = self.state.rng.sample(rows, CRASH_NOTICES_LIMIT)
-        data = _notice.encode_notice(record)
+        data = _crash_notice.encode_notice(record)
         for row in rows:
             peer = self.state.peers.find(row)
             self._start_task(peer.ask(data, 'crash notice not delivered'))
 
     @property
     def _target_set(self) -> base.TargetSetName:
-        report = self.state.side.target.report
+        report = self.state.target_client.target.report
         return report.target_set if report else self.identity.target_set
 
     def _publish_target(self) -> None:
-        side = self.state.side
-        side.refresh_gate()
-        side.row = self._make_row()
-        if side.row is not None:
-            self.state.take_told(side.row)
-        self.source.publish(side.row)
+        target_client = self.state.target_client
+        target_client.refresh_gate()
+        target_client.row = self._make_row()
+        if target_client.row is not None:
+            self.state.apply_reported_row(target_client.row)
+        self.source.publish(target_client.row)
 
     def _make_row(self) -> _messages.MemberRow | None:
-        report = self.state.side.target.report
+        report = self.state.target_client.target.report
         if report is None or self.is_leaving:
             return None
         return _messages.MemberRow(
@@ -467,7 +469,7 @@
             cold_ms=report.cold_ms,
             link_mbps=round(self.identity.link_mbps),
             born_ms=report.born_ms,
-            crashes=self.state.side.watch.records,
+            crashes=self.state.target_client.watch.records,
             version=report.version,
         )
 
@@ -491,7 +493,7 @@
         self.source.publish(None)
         LOG.info('leaving')
         loop = asyncio.get_running_loop()
-        self._tasks.append(loop.create_task(self.leave_log.run()))
+        self._tasks.append(loop.create_task(self.shutdown_log.run()))
         serving_ms = min(
             self.state.mesh_settings.leave_serving_ms,
             grace_ms * LEAVE_SERVING_SHARE,
@@ -499,13 +501,13 @@
         await asyncio.sleep(serving_ms / 1000)
         # Peers that have not yet seen the removed row send calls until they
         # are refused. A call that is accepted now might be aborted at the end.
-        self.state.side.leave()
+        self.state.target_client.leave()
         self.state.serving.is_over = True
         for server in self._servers:
             server.close()
         await self._wait_until_idle(end_s)
         self._stop_tasks()
-        self.leave_log.note_end()
+        self.shutdown_log.note_end()
 
     def _plan_end(self, grace_s: float) -> float:
         """Limit all requests to the grace time; return when to end."""
@@ -589,15 +591,15 @@
     pacer = transport.make_pacer(identity.link_mbps, loop)
     rng = random.Random()
     gate = _gate.Gate(mesh_settings, now_s)
-    side = _target_side.TargetSide(
+    target_client = _target_client.TargetClient(
         names,
         addresses,
         mesh_settings,
         _target.LocalTarget(),
         gate,
         _link.LinkMeter(identity.link_mbps, now_s),
-        _room.LinkRoom(identity.link_mbps, now_s),
-        _answer_room.AnswerRoom(pacer, now_s),
+        _link_reservations.LinkReservations(identity.link_mbps, now_s),
+        _answer_admission.AnswerAdmission(pacer, now_s),
     )
     decisions = _decisions.DecisionLog(
         mesh_settings.success_log_every, mesh_settings.log_lines_per_s, now_s
@@ -609,7 +611,7 @@
         _config.ConfigHolder(mesh),
         _fleet.FleetTable(),
         _peers.PeerTable(mesh_settings),
-        side,
+        target_client,
         budget,
         decisions,
         rng,
--- a/sedgering/mesh/_evidence_hop.py
+++ b/sedgering/mesh/_evidence_hop.py
@@ -2,16 +2,16 @@
 
 import msgspec
 
-from sedgering.mesh import _peer_answers
+from sedgering.mesh import _peer_responses
 from sedgering import rollout
 from sedgering import transport
 
 __all__ = [
     'decode_evidence',
-    'decode_question',
+    'decode_evidence_request',
     'encode_evidence',
-    'encode_question',
-    'is_question',
+    'encode_evidence_request',
+    'is_evidence_request',
 ]
 
 PATH = '/evidence'
@@ -22,18 +22,18 @@
 _DECODER = msgspec.msgpack.Decoder(rollout.Evidence)
 
 
-def encode_question(order_revision: int) -> bytes:
+def encode_evidence_request(order_revision: int) -> bytes:
     """Encode an evidence request to another daemon."""
     headers = [('Host', 'peer'), (ORDER_REVISION_FIELD, str(order_revision))]
     return transport.encode_request(transport.Request('GET', PATH, headers))
 
 
-def is_question(request: transport.Request) -> bool:
+def is_evidence_request(request: transport.Request) -> bool:
     """Whether a request is an evidence request of another daemon."""
     return request.find(ORDER_REVISION_FIELD) is not None
 
 
-def decode_question(request: transport.Request) -> int:
+def decode_evidence_request(request: transport.Request) -> int:
     """Return the order revision of an evidence request.
 
     Raises
@@ -47,7 +47,7 @@
 def encode_evidence(evidence: rollout.Evidence) -> transport.Response:
     """Encode the answer to an evidence request."""
     return transport.Response(
-        _peer_answers.STATUS_OK, [], _ENCODER.encode(evidence)
+        _peer_responses.STATUS_OK, [], _ENCODER.encode(evidence)
     )
 
 
@@ -59,4 +59,4 @@
     PeerError
         If the response is not a valid answer.
     """
-    return _peer_answers.decode_peer_answer(response, _DECODER.decode)
+    return _peer_responses.decode_peer_answer(response, _DECODER.decode)
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -12,8 +12,8 @@
 from sedgering.mesh import _peers
 from sedgering.mesh import _progress
 from sedgering.mesh import _refusal
+from sedgering.mesh import _request_status
 from sedgering.mesh import _search
-from sedgering.mesh import _standing
 from sedgering.mesh import _state
 from sedgering import overload
 from sedgering import quota
@@ -84,7 +84,7 @@
         self.deadline_s = 0.0
         self.goal_s = 0.0
         self.urgency = _messages.CallUrgency.FIRST
-        self.is_hasty = False
+        self.is_early_retry = False
         #: Bounds of Retry-After, as shares of the time that the caller has
         #: left.
         self.retry_after_shares = overload.RETRY_AFTER_SHARES
@@ -101,10 +101,11 @@
         #: Done when any attempt has ended or is silent.
         self._update: asyncio.Future = self.loop.create_future()
         self.last: _messages.CallAnswer | None = None
-        #: Identity of the caller; `NOBODY` when the bundle requires no keys.
-        self.identity = access.NOBODY
+        #: Identity of the caller; `ANONYMOUS` when the bundle requires no
+        #: keys.
+        self.identity = access.ANONYMOUS
         #: Crash evidence against the request; set once the caller is known.
-        self.standing: _standing.KnownRequest | None = None
+        self.request_status: _request_status.RequestStatus | None = None
         self.answered: _messages.CallAnswer | None = None
         self.answered_by = base.HostId('')
 
@@ -132,10 +133,10 @@
             self._identify(snapshot)
             if self.identity.code is not None:
                 return self._refuse(self.identity.code)
-        self.standing = _standing.KnownRequest(
+        self.request_status = _request_status.RequestStatus(
             self.request, self.state.crashes
         )
-        self.target_set = self.state.turns.choose(self.route)
+        self.target_set = self.state.route_weights.choose(self.route)
         try:
             self._set_times()
         except ValueError:
@@ -143,18 +144,18 @@
         if self.state.serving.would_cut_off(self.deadline_s):
             # The body arrived slowly, or the request was pipelined.
             return self._refuse(exceptions.Code.REQUEST_LEAVING)
-        if self.standing.is_quarantined:
+        if self.request_status.is_quarantined:
             return self._refuse(exceptions.Code.REQUEST_QUARANTINED)
         if not await self._take_token():
             return self._refuse(exceptions.Code.REQUEST_QUOTA)
         admission_call = self._make_admission_call()
-        verdict = self.state.levels.judge(admission_call, self._now_s)
-        if not verdict.is_admitted:
-            return self._reject(verdict)
+        decision = self.state.admission.decide(admission_call, self._now_s)
+        if not decision.is_admitted:
+            return self._reject(decision)
         begun_s = self._now_s
         response = await self._serve()
         if self.ended_overloaded:
-            self.state.levels.note_refused(admission_call, begun_s)
+            self.state.admission.note_refused(admission_call, begun_s)
         return response
 
     async def _serve(self) -> transport.Response:
@@ -184,22 +185,26 @@
         search = _search.FreeSlotSearch(
             self.state.search_stats, call.target_set, call.body_bytes
         )
-        return _chooser.TargetChooser(self.state, call, self.standing, search)
+        return _chooser.TargetChooser(
+            self.state, call, self.request_status, search
+        )
 
-    def _make_admission_call(self) -> overload.AskedCall:
+    def _make_admission_call(self) -> overload.AdmissionRequest:
         """Make the input of the admission decision for the target set."""
-        return overload.AskedCall(
+        return overload.AdmissionRequest(
             self.target_set,
             self.request_id,
             self.state.peers.typical_work_ms(self.route.name),
             self.policy.priority,
-            self.is_hasty,
+            self.is_early_retry,
             self.identity.workspace,
             self.identity.priority,
             self.urgency is _messages.CallUrgency.TARGET,
         )
 
-    def _reject(self, verdict: overload.Verdict) -> transport.Response:
+    def _reject(
+        self, decision: overload.AdmissionDecision
+    ) -> transport.Response:
         """Refuse a request that its target set has no capacity for."""
         self.retry_after_shares = overload.REJECTED_AFTER_SHARES
         code = exceptions.Code.REQUEST_SHED
@@ -209,7 +214,7 @@
             self.route.name,
             self.target_set,
             self.identity.workspace,
-            verdict,
+            decision,
             self.version,
         )
         return self._make_refusal(code)
@@ -223,18 +228,18 @@
         request = self.request
         names = self.state.names
         workspace_field = names.workspace.lower()
-        values, request.headers = access.take_claims(
+        values, request.headers = access.strip_identity_fields(
             request.headers, workspace_field
         )
         if request.fields is not None:
             request.fields.pop(access.KEY_FIELD, None)
             request.fields.pop(workspace_field, None)
-        self.identity = access.identify(
+        self.identity = access.authenticate(
             snapshot,
             self.route.name,
             values,
             names.key_scheme,
-            self.state.find_currency(),
+            self.state.find_freshness(),
             self.state.revocation,
         )
         request.workspace = self.identity.workspace
@@ -255,10 +260,10 @@
             self.route.name,
             stated_ms,
             started_s,
-            self.state.side.latest_deadline_s,
+            self.state.target_client.latest_deadline_s,
         )
         self.urgency = origin.urgency
-        self.is_hasty = origin.is_hasty
+        self.is_early_retry = origin.is_early_retry
         goal_ms = self.policy.latency_goal_ms or timeout_ms
         self.goal_s = started_s + (goal_ms - origin.waited_ms) / 1000
 
@@ -266,7 +271,7 @@
         """Take a quota token of the workspace; return whether one was free."""
         quotas = self.state.quotas
         workspace = self.identity.workspace
-        if not quotas.is_counted(workspace):
+        if not quotas.has_quota(workspace):
             return True
         self.token = quotas.take(workspace)
         if self.token is None:
@@ -308,7 +313,7 @@
         """Start an attempt at a target."""
         if not self.chooser.asked_hosts:
             self.state.budget.note_request(self.target_set, self._now_s)
-        self.chooser.note_asked(peer.row.host)
+        self.chooser.record_attempt(peer.row.host)
         progress = _progress.AttemptProgress(peer.row.host, self._now_s)
         expected_ms = self.chooser.make_costs().make_offer(peer).expected_ms
         sent = self.state.sender.begin(
@@ -349,7 +354,7 @@
         """Record the actual against the estimated duration of a call."""
         if answer.outcome is _Outcome.ANSWERED:
             elapsed_ms = (self._now_s - attempt.started_s) * 1000
-            self.state.peers.end_times.note(
+            self.state.peers.completion_times.note(
                 self.route.name, attempt.expected_ms, elapsed_ms
             )
 
@@ -386,7 +391,7 @@
             workspace=self.identity.workspace,
             workspace_priority=self.identity.priority,
         )
-        self.standing.tell(call)
+        self.request_status.add_evidence(call)
         return call
 
     def _learn(self, peer: _peers.Peer, answer: _messages.CallAnswer) -> None:
@@ -400,7 +405,7 @@
             self.chooser.search.note_busy(peer.row.host, answer.retry_after_ms)
             self.state.decisions.count_attempt(answer.reason)
             return
-        self.standing.note(answer)
+        self.request_status.update(answer)
         if answer.reached_target:
             self.arrivals += 1
             self.state.exposure.note_arrival(self.target_set)
@@ -449,21 +454,27 @@
     def _learn_demand(self, peer: _peers.Peer, demand_percent: int) -> None:
         """Record the demand that a target reports."""
         now_s = self._now_s
-        self.state.levels.take_demand(self.target_set, demand_percent, now_s)
+        self.state.admission.add_demand_report(
+            self.target_set, demand_percent, now_s
+        )
         self.state.centres.note(
             self.target_set, peer.row.data_centre, demand_percent, now_s
         )
 
     def _find_logged_fingerprint(self) -> base.Fingerprint | None:
         """Return the fingerprint of a request that may have run, for logs."""
-        return self.standing.make_fingerprint() if self.may_have_run else None
+        return (
+            self.request_status.make_fingerprint()
+            if self.may_have_run
+            else None
+        )
 
     def _may_retry_host(
         self, peer: _peers.Peer, answer: _messages.CallAnswer
     ) -> bool:
         """Apply a host's row of its target; return whether to ask it again."""
         member = answer.member
-        self.state.take_told(member)
+        self.state.apply_reported_row(member)
         is_other = member.lifetime != peer.row.lifetime
         return is_other and self.chooser.uncounted_hops < UNCOUNTED_HOPS_LIMIT
 
@@ -478,7 +489,7 @@
 
     def _choose_next(self, answer: _messages.CallAnswer) -> _peers.Peer | None:
         """Choose the next target after an answer that is not final."""
-        if self.standing.is_quarantined:
+        if self.request_status.is_quarantined:
             return None
         is_not_run = answer.outcome is _Outcome.NOT_RUN
         if is_not_run and not answer.reached_target:
@@ -547,7 +558,7 @@
             return self._forward(self.answered)
         if self.may_have_run:
             return self._refuse(exceptions.Code.REQUEST_UNKNOWN)
-        if self.standing.is_quarantined:
+        if self.request_status.is_quarantined:
             return self._refuse(exceptions.Code.REQUEST_QUARANTINED)
         if self.last is None:
             return self._refuse(exceptions.Code.REQUEST_NO_TARGET)
@@ -567,7 +578,7 @@
             self.last,
             self._elapsed_ms(),
             self.version,
-            self.standing.fingerprint if self.standing else None,
+            self.request_status.fingerprint if self.request_status else None,
             self.identity.key_head,
         )
         return self._make_refusal(code)
@@ -603,11 +614,13 @@
         """Return the time after which a refused caller should retry."""
         if code is exceptions.Code.REQUEST_QUARANTINED:
             # An earlier retry would only be refused again.
-            return self.standing.find_wait_s()
+            return self.request_status.find_wait_s()
         if code is exceptions.Code.REQUEST_KEY_UNSURE:
             return self.state.rng.uniform(*KEY_RETRY_AFTER_S)
         if code is exceptions.Code.REQUEST_QUOTA:
-            return self.state.quotas.find_pause_s(self.identity.workspace)
+            return self.state.quotas.find_retry_after_s(
+                self.identity.workspace
+            )
         limits = self.state.mesh_settings
         left_ms = self.stated_timeout_ms - self._elapsed_ms()
         share = self.state.rng.uniform(*self.retry_after_shares)
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -8,16 +8,16 @@
 import msgspec
 
 from sedgering import base
+from sedgering.mesh import _crash_notice
 from sedgering.mesh import _evidence_hop
 from sedgering.mesh import _hop
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
-from sedgering.mesh import _notice
 from sedgering.mesh import _pause
 from sedgering.mesh import _quota_hop
 from sedgering.mesh import _quotas
 from sedgering.mesh import _relay
-from sedgering.mesh import _room
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import transport
 
 __all__ = ['InboundService']
@@ -34,13 +34,13 @@
 
     Parameters
     ----------
-    side : TargetSide
+    target_client : TargetClient
         Runs calls at the local target.
     note_version : callable
         Called with the version by which each call was routed.
-    pause : PauseWatch
+    pause : PauseDetector
         Measures how late a call is read after a pause of the process.
-    desk : RelayDesk
+    poll_handler : PollHandler
         Answers relay polls.
     quotas : WorkspaceQuotas
         Answers daemons that request quota tokens.
@@ -48,17 +48,17 @@
 
     def __init__(
         self,
-        side: _target_side.TargetSide,
+        target_client: _target_client.TargetClient,
         note_version: Callable[[base.Version], None],
-        pause: _pause.PauseWatch,
-        desk: _relay.RelayDesk,
+        pause: _pause.PauseDetector,
+        poll_handler: _relay.PollHandler,
         quotas: _quotas.WorkspaceQuotas,
     ):
         super().__init__()
-        self.side = side
+        self.target_client = target_client
         self.note_version = note_version
         self.pause = pause
-        self.desk = desk
+        self.poll_handler = poll_handler
         self.quotas = quotas
 
     def find_limits(self) -> transport.CallerLimits:
@@ -70,7 +70,7 @@
     ) -> Coroutine | transport.Response:
         """Return an immediate response, or a coroutine that answers."""
         if _relay.is_poll(request):
-            return self.desk.answer(request)
+            return self.poll_handler.answer(request)
         if not _hop.is_call(request):
             return self._answer_directly(request)
         try:
@@ -79,7 +79,7 @@
             return self._refuse_unreadable(error)
         if call.may_wait or self.pause.find_lag_s():
             return self._run(call)
-        answer = self.side.refuse_if_busy(call)
+        answer = self.target_client.refuse_if_busy(call)
         if answer is None:
             return self._run(call)
         self.note_version(call.version)
@@ -96,18 +96,18 @@
         self, request: transport.Request
     ) -> transport.Response:
         """Answer requests other than calls and polls."""
-        if _quota_hop.is_ask(request):
+        if _quota_hop.is_quota_request(request):
             return self.quotas.answer(request)
         if _hop.is_ping(request):
             return transport.Response(200, [])
-        if _notice.is_notice(request):
+        if _crash_notice.is_notice(request):
             return self._take_notice(request)
-        if _evidence_hop.is_question(request):
+        if _evidence_hop.is_evidence_request(request):
             return self._answer_evidence_query(request)
-        body_bytes = _room.find_room_bytes(request)
+        body_bytes = _link_reservations.find_reservation_bytes(request)
         if body_bytes is not None:
             return _hop.encode_answer(
-                self.side.answer_room_request(body_bytes)
+                self.target_client.answer_reservation_request(body_bytes)
             )
         return self._refuse_unreadable(_hop.HopError('neither call nor poll'))
 
@@ -121,19 +121,19 @@
     async def _run(self, call: _messages.TargetCall) -> transport.Response:
         """Run a call and encode its result."""
         self.note_version(call.version)
-        self.side.room.note_arrival(len(call.request.body))
+        self.target_client.link_reservations.release(len(call.request.body))
         if self.pause.find_lag_s():
             lag_ms = int(1000 * await self.pause.settle())
             call.remaining_ms = max(0, call.remaining_ms - lag_ms)
             call.goal_ms = max(0, call.goal_ms - lag_ms)
         try:
             async with asyncio.timeout(call.remaining_ms / 1000):
-                answer = await self.side.run_for_peer(call)
+                answer = await self.target_client.run_for_peer(call)
         except TimeoutError:
             answer = _messages.CallAnswer(
                 _messages.CallOutcome.UNKNOWN,
                 reason=_messages.RefusalReason.DEADLINE,
-                load=self.side.make_report(call.route),
+                load=self.target_client.make_report(call.route),
             )
         return _hop.encode_answer(answer)
 
@@ -142,7 +142,7 @@
     ) -> transport.Response:
         """Return the trial evidence on the version of the local target."""
         try:
-            order_revision = _evidence_hop.decode_question(request)
+            order_revision = _evidence_hop.decode_evidence_request(request)
         except ValueError as error:
             LOG.warning(
                 'unreadable evidence query from a peer',
@@ -150,20 +150,20 @@
             )
             return transport.make_json_response(400, {'error': str(error)})
         return _evidence_hop.encode_evidence(
-            self.side.version_trial.find_evidence(
-                order_revision, self.side.gate
+            self.target_client.version_trial.find_evidence(
+                order_revision, self.target_client.gate
             )
         )
 
     def _take_notice(self, request: transport.Request) -> transport.Response:
         """Record the crash of the target of another daemon."""
         try:
-            record = _notice.decode_notice(request)
+            record = _crash_notice.decode_notice(request)
         except msgspec.DecodeError as error:
             LOG.warning(
                 'unreadable crash notice from a peer',
                 extra={'detail': str(error)},
             )
             return transport.make_json_response(400, {'error': str(error)})
-        self.side.crashes.take_record(record)
+        self.target_client.crashes.add_record(record)
         return transport.Response(200, [])
--- a/sedgering/mesh/_outbound.py
+++ b/sedgering/mesh/_outbound.py
@@ -15,16 +15,18 @@
     ----------
     state : RequestState
         Shared by all requests.
-    pause : PauseWatch
+    pause : PauseDetector
         Measures by how much the reading of requests lags.
     """
 
-    def __init__(self, state: _state.RequestState, pause: _pause.PauseWatch):
+    def __init__(
+        self, state: _state.RequestState, pause: _pause.PauseDetector
+    ):
         super().__init__()
         self.state = state
         self.pause = pause
         #: Requests without an answer yet.
-        self.under_way: set[_exchange.Exchange] = set()
+        self.in_flight: set[_exchange.Exchange] = set()
 
     def find_limits(self) -> transport.CallerLimits:
         """Return the caller limits set by the operator."""
@@ -35,8 +37,8 @@
         if self.pause.find_lag_s():
             request.received_s -= await self.pause.settle()
         exchange = _exchange.Exchange(request, self.state)
-        self.under_way.add(exchange)
+        self.in_flight.add(exchange)
         try:
             return await exchange.run()
         finally:
-            self.under_way.discard(exchange)
+            self.in_flight.discard(exchange)
--- a/sedgering/mesh/_peers.py
+++ b/sedgering/mesh/_peers.py
@@ -94,7 +94,7 @@
         #: Reported work time by route, and when it was reported.
         self._route_work: dict[base.RouteName, tuple[int, float]] = {}
         self._cold_until_s = 0.0
-        self._speed = balance.MomentSpeed()
+        self._speed = balance.HostSlowness()
         #: Mean number of calls of other daemons at the target, and of those
         #: among them that go before a call of a target.
         self._mean_present = 0.0
@@ -290,7 +290,7 @@
         """Discard a future returned by :meth:`watch_silence`."""
         self._silence_waiters.discard(future)
 
-    async def ask_for_life(self) -> None:
+    async def ping(self) -> None:
         """Ping the daemon."""
         self.is_ping_pending = True
         try:
@@ -336,7 +336,7 @@
         self.pool.put(connection)
         return response
 
-    def take_report(
+    def record_report(
         self,
         report: _messages.LoadReport | None,
         route: base.RouteName,
@@ -450,7 +450,7 @@
         self.mesh_settings = mesh_settings
         self._peers: dict[base.HostId, Peer] = {}
         #: Actual against estimated durations of calls.
-        self.end_times = balance.EndTimes()
+        self.completion_times = balance.CompletionTimes()
         self._typical_ms: dict[base.RouteName, float] = {}
         self._answer_bytes: dict[base.RouteName, float] = {}
 
@@ -458,7 +458,7 @@
         """Return the mean work time of a route over all targets."""
         return self._typical_ms.get(route, DEFAULT_WORK_MS)
 
-    def take_report(
+    def record_report(
         self,
         peer: Peer,
         report: _messages.LoadReport | None,
@@ -466,7 +466,7 @@
         now_s: float,
     ) -> None:
         """Record the load that a peer reported with an answer to a call."""
-        peer.take_report(report, route, now_s)
+        peer.record_report(report, route, now_s)
         if report is None or not report.route_work_ms:
             return
         _note_typical(self._typical_ms, route, report.route_work_ms)
@@ -484,7 +484,7 @@
         for table in (self._typical_ms, self._answer_bytes):
             for route in table.keys() - set(routes):
                 del table[route]
-        self.end_times.retain(routes)
+        self.completion_times.retain(routes)
 
     def find(self, row: _messages.MemberRow) -> Peer:
         """Return the peer of a row; a new target has no known load."""
@@ -515,7 +515,7 @@
             self.mesh_settings.peer_idle_ms / 1000,
         )
 
-    def abandon_silent(self, now_s: float) -> None:
+    def mark_silent(self, now_s: float) -> None:
         """Mark daemons and targets that are silent for too long."""
         limit_ms = self.mesh_settings.silence_ms
         for peer in self._list_busy():
@@ -536,7 +536,7 @@
         """
         return [peer for peer in self._peers.values() if peer.in_flight]
 
-    def list_unheard(self, now_s: float) -> list[Peer]:
+    def list_silent(self, now_s: float) -> list[Peer]:
         """Return silent peers whose daemons should be pinged."""
         wait_ms = self.mesh_settings.silence_ms * PING_SILENCE_SHARE
         return [
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -19,7 +19,7 @@
 from sedgering.mesh import _serving
 from sedgering.mesh import _settings
 from sedgering.mesh import _start
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import overload
 from sedgering import rollout
 
@@ -43,7 +43,7 @@
         Hosts and targets.
     peers : PeerTable
         Load and failures of the targets.
-    side : TargetSide
+    target_client : TargetClient
         The local target.
     budget : RetryWindow
         Retry budget.
@@ -61,7 +61,7 @@
         config: _config.ConfigHolder,
         fleet: _fleet.FleetTable,
         peers: _peers.PeerTable,
-        side: _target_side.TargetSide,
+        target_client: _target_client.TargetClient,
         budget: _budget.RetryWindow,
         decisions: _decisions.DecisionLog,
         rng: random.Random,
@@ -72,23 +72,23 @@
         self.config = config
         self.fleet = fleet
         self.peers = peers
-        self.side = side
-        self.crashes = side.crashes
+        self.target_client = target_client
+        self.crashes = target_client.crashes
         self.budget = budget
         self.decisions = decisions
         self.rng = rng
-        self.sender = _sender.CallSender(identity, side, peers)
-        self.turns = _choice.WeightedTurns()
+        self.sender = _sender.CallSender(identity, target_client, peers)
+        self.route_weights = _choice.WeightedRoundRobin()
         self.callers = _callers.CallerTable()
         self.search_stats = _search.SearchStats()
-        self.levels = overload.LevelTable()
-        self.centres = balance.CentreDemand()
+        self.admission = overload.AdmissionController()
+        self.centres = balance.DataCentreDemand()
         self.start = _start.StartupWait()
         self.serving = _serving.ServingDeadline()
         #: Returns how current the version in force is.
-        self.find_currency: Callable[[], access.Currency] = access.Currency
+        self.find_freshness: Callable[[], access.Freshness] = access.Freshness
         self.workspace_counts = access.WorkspaceCounts()
-        self.revocation = access.Revocation()
+        self.revocation = access.RevocationPolicy()
         self.follow_revocation(mesh_settings)
         self.quotas = _quotas.make_workspace_quotas(
             identity,
@@ -97,7 +97,7 @@
             peers,
             decisions.counts,
             rng,
-            side.gate.now_s,
+            target_client.gate.now_s,
         )
         self.exposure = rollout.ExposureQuota(
             mesh_settings.exposed_share_percent / 100
@@ -105,11 +105,11 @@
 
     def follow_revocation(self, mesh_settings: _settings.MeshSettings) -> None:
         """Apply the settings for keys that may have been revoked."""
-        self.revocation = access.Revocation(
+        self.revocation = access.RevocationPolicy(
             mesh_settings.revoke_strict, mesh_settings.revoke_ms / 1000
         )
 
-    def take_told(self, row: _messages.MemberRow) -> bool:
+    def apply_reported_row(self, row: _messages.MemberRow) -> bool:
         """Apply a daemon's report of its local target.
 
         Returns
@@ -117,12 +117,12 @@
         bool
             Whether the report was new.
         """
-        if not self.fleet.take_told(row):
+        if not self.fleet.apply_reported_row(row):
             return False
         self.note_started(row)
         return True
 
     def note_started(self, row: _messages.MemberRow) -> None:
         """Record that the target of a row has started."""
-        now_s = self.side.gate.now_s()
+        now_s = self.target_client.gate.now_s()
         self.peers.find(row).note_cold(now_s + row.cold_ms / 1000)
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_client.py
@@ -6,22 +6,22 @@
 
 from sedgering import balance
 from sedgering import base
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _crash_records
 from sedgering.mesh import _crash_watch
 from sedgering.mesh import _crashes
 from sedgering.mesh import _gate
 from sedgering.mesh import _gate_log
 from sedgering.mesh import _link
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
-from sedgering.mesh import _room
 from sedgering.mesh import _settings
 from sedgering.mesh import _target
 from sedgering.mesh import _trials
 from sedgering.mesh import _version_trial
 from sedgering import transport
 
-__all__ = ['TargetSide']
+__all__ = ['TargetClient']
 
 LOG = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
 _REPLACED_FIELDS = ('deadline_ms', 'expected_target', 'origin', 'workspace')
 
 
-class TargetSide:
+class TargetClient:
     """Runs calls at the local target.
 
     Parameters
@@ -52,9 +52,9 @@
         Admission control for the target.
     link : LinkMeter
         Measures the utilization of the link of this host.
-    room : LinkRoom
+    link_reservations : LinkReservations
         Reservations for large request bodies to this host.
-    answer_room : AnswerRoom
+    answer_admission : AnswerAdmission
         Admission control for large answers from this host.
     """
 
@@ -66,8 +66,8 @@
         target: _target.LocalTarget,
         gate: _gate.Gate,
         link: _link.LinkMeter,
-        room: _room.LinkRoom,
-        answer_room: _answer_room.AnswerRoom,
+        link_reservations: _link_reservations.LinkReservations,
+        answer_admission: _answer_admission.AnswerAdmission,
     ):
         self.names = names
         self.target = target
@@ -81,14 +81,14 @@
         )
         self.gate_log = _gate_log.GateLog()
         self.link = link
-        self.room = room
-        self.answer_room = answer_room
-        self.speed = balance.OwnSpeed(gate.now_s)
+        self.link_reservations = link_reservations
+        self.answer_admission = answer_admission
+        self.speed = balance.OwnTargetSpeed(gate.now_s)
         self.is_leaving = False
         #: The member row of this host, once it is known.
         self.row: _messages.MemberRow | None = None
         #: Calls at the target, by connection.
-        self._busy: dict[
+        self._in_flight: dict[
             transport.ClientConnection, _crash_watch.SentCall
         ] = {}
         #: Lifetime that the statistics of the gate are from.
@@ -116,7 +116,7 @@
     def latest_deadline_s(self) -> float:
         """Latest deadline of the calls at the target; -inf without any."""
         return max(
-            (sent.deadline_s for sent in self._busy.values()),
+            (sent.deadline_s for sent in self._in_flight.values()),
             default=-math.inf,
         )
 
@@ -152,7 +152,7 @@
         self.pool.put(connection)
         return True
 
-    def note_lifetime(self) -> None:
+    def handle_new_lifetime(self) -> None:
         """Reset statistics and connections when the lifetime has changed."""
         previous, current = self._lifetime, self.target.lifetime
         if current is None:
@@ -168,8 +168,8 @@
                 self._open_lifetime = None
                 self._report_crash(previous)
             LOG.info('target replaced', extra={'target': current.target})
-            self.gate.renew()
-            self.speed = balance.OwnSpeed(self.gate.now_s)
+            self.gate.reset_statistics()
+            self.speed = balance.OwnTargetSpeed(self.gate.now_s)
             self.pool.close()
         if is_restart:
             self._close_calls(self.target.previous_reported_s)
@@ -182,28 +182,30 @@
         occupy slots of the current lifetime.  Later calls may already have
         reached the current one.
         """
-        for connection, sent in list(self._busy.items()):
+        for connection, sent in list(self._in_flight.items()):
             if sent.at_s < until_s:
                 connection.close()
 
-    def _note_end(self, lifetime: _messages.Lifetime) -> None:
+    def _handle_crash(self, lifetime: _messages.Lifetime) -> None:
         """Record that a lifetime has crashed, and close its connections.
 
         Closing the gate makes peers send calls to other hosts: a host whose
         target refuses at once looks idle and would attract all calls.
         """
-        if not self.target.note_down(lifetime):
+        if not self.target.mark_crashed(lifetime):
             return
         self.refresh_gate()
         self._report_crash(lifetime)
         self.pool.close()
-        for connection, sent in list(self._busy.items()):
+        for connection, sent in list(self._in_flight.items()):
             if sent.lifetime == lifetime:
                 connection.close()
 
     def _report_crash(self, lifetime: _messages.Lifetime) -> None:
         in_flight = [
-            sent for sent in self._busy.values() if sent.lifetime == lifetime
+            sent
+            for sent in self._in_flight.values()
+            if sent.lifetime == lifetime
         ]
         self.watch.record_crash(lifetime, in_flight)
 
@@ -211,9 +213,9 @@
         """Make the load report that is sent to peers with an answer."""
         report = self.gate.make_report(route)
         report.link_percent = max(
-            self.link.find_percent(), self.room.used_percent
+            self.link.find_percent(), self.link_reservations.used_percent
         )
-        report.answer_wait_ms = int(self.answer_room.wait_ms)
+        report.answer_wait_ms = int(self.answer_admission.wait_ms)
         if self.speed.is_known:
             self._report_speed(report, route)
         return report
@@ -233,9 +235,11 @@
         if load is not None:
             self.speed.note_load(load)
 
-    def answer_room_request(self, body_bytes: int) -> _messages.CallAnswer:
+    def answer_reservation_request(
+        self, body_bytes: int
+    ) -> _messages.CallAnswer:
         """Answer whether a large body may be sent to this host."""
-        if self.room.reserve(body_bytes):
+        if self.link_reservations.reserve(body_bytes):
             return _messages.CallAnswer(
                 _messages.CallOutcome.NOT_RUN,
                 load=self.make_report(_messages.NO_ROUTE),
@@ -277,7 +281,7 @@
         least.
         """
         left_ms = call.goal_ms or call.remaining_ms
-        delay_ms = self.speed.find_delay_ms(call.route, left_ms)
+        delay_ms = self.speed.estimate_delay_ms(call.route, left_ms)
         if call.may_wait or not delay_ms:
             return None
         return self._refuse(call, _messages.RefusalReason.BUSY, delay_ms)
@@ -286,22 +290,22 @@
         self, call: _messages.TargetCall
     ) -> _messages.CallAnswer:
         """Run a call of a peer, whose answer uses the link of this host."""
-        room = self.answer_room
+        admission = self.answer_admission
         work_ms = self.gate.work.find_mean_ms(call.route)
         goal_s = self.gate.now_s() + call.goal_ms / 1000
-        if not room.can_send_in_time(call.route, work_ms, goal_s):
+        if not admission.can_send_in_time(call.route, work_ms, goal_s):
             self.gate_log.count_refused(call.route)
             return self._refuse(
-                call, _messages.RefusalReason.LINK_FULL, int(room.wait_ms)
+                call, _messages.RefusalReason.LINK_FULL, int(admission.wait_ms)
             )
-        reserved_bytes = room.reserve(call.route)
+        reserved_bytes = admission.reserve(call.route)
         size_bytes = None
         try:
             answer = await self.run(call)
             if answer.response is not None:
                 size_bytes = len(answer.response.body)
         finally:
-            room.release(call.route, reserved_bytes, size_bytes)
+            admission.release(call.route, reserved_bytes, size_bytes)
         return answer
 
     async def run(self, call: _messages.TargetCall) -> _messages.CallAnswer:
@@ -322,10 +326,10 @@
         """
         if call.crashes:
             fingerprint = self.crashes.make_fingerprint(call.request)
-            self.crashes.blame(fingerprint, call.crashes)
+            self.crashes.add_crashes(fingerprint, call.crashes)
         fingerprint = self.crashes.find(call.request)
         if fingerprint is not None:
-            self.crashes.clear(fingerprint, call.forgiven)
+            self.crashes.clear(fingerprint, call.cleared_crashes)
         return fingerprint
 
     async def _run_suspect(
@@ -339,7 +343,7 @@
         Copies of it wait for the result of the first one.
         """
         crashes = self.crashes
-        while crashes.find_standing(fingerprint) is _crashes.Standing.SUSPECT:
+        while crashes.find_status(fingerprint) is _crashes.CrashStatus.SUSPECT:
             if not call.is_trial:
                 return self._refuse(call, _messages.RefusalReason.SUSPECTED)
             count = crashes.count_crashes(fingerprint)
@@ -349,7 +353,10 @@
                 finally:
                     self.trials.finish(fingerprint)
             await self.trials.wait()
-        if crashes.find_standing(fingerprint) is _crashes.Standing.QUARANTINED:
+        if (
+            crashes.find_status(fingerprint)
+            is _crashes.CrashStatus.QUARANTINED
+        ):
             return self._refuse(call, _messages.RefusalReason.QUARANTINED)
         call.is_trial = False
         return await self._admit(call, arrived_s)
@@ -456,8 +463,8 @@
         fingerprint = self.crashes.find(call.request)
         if fingerprint is not None and not call.is_trial:
             if (
-                self.crashes.find_standing(fingerprint)
-                is not _crashes.Standing.SOUND
+                self.crashes.find_status(fingerprint)
+                is not _crashes.CrashStatus.SOUND
             ):
                 return self._refuse(call, _messages.RefusalReason.SUSPECTED)
         return await self._send(call, ticket)
@@ -499,7 +506,7 @@
         except transport.ConnectFailed as error:
             reason = _messages.RefusalReason.UNREACHABLE
             if error.is_refused and self.target.lifetime is not None:
-                self._note_end(self.target.lifetime)
+                self._handle_crash(self.target.lifetime)
                 reason = _messages.RefusalReason.TARGET_UNKNOWN
             return _messages.CallAnswer(
                 _messages.CallOutcome.NOT_RUN,
@@ -515,8 +522,8 @@
             self.pool.put(connection)
             return self._refuse(call, _messages.RefusalReason.DEADLINE)
         data = self._encode(call, remaining_ms)
-        sent = self._make_sent(call, ticket, lifetime)
-        self._busy[connection] = sent
+        sent = self._make_sent_call(call, ticket, lifetime)
+        self._in_flight[connection] = sent
         try:
             response = await connection.exchange(
                 data,
@@ -524,7 +531,7 @@
                 call.request.method == 'HEAD',
             )
         except transport.ExchangeFailed as error:
-            await self._settle_loss(sent)
+            await self._check_lost_call(sent)
             return _messages.CallAnswer(
                 _messages.CallOutcome.UNKNOWN,
                 reason=_messages.RefusalReason.CONNECTION_LOST,
@@ -536,12 +543,12 @@
             self.watch.add_lost_call(sent)
             raise
         finally:
-            del self._busy[connection]
+            del self._in_flight[connection]
         self.pool.put(connection)
         self.note_load(response.find(self._load_name))
         return self._classify(response, call)
 
-    def _make_sent(
+    def _make_sent_call(
         self,
         call: _messages.TargetCall,
         ticket: _gate.Ticket,
@@ -555,13 +562,13 @@
             call.is_trial,
         )
 
-    async def _settle_loss(self, sent: _crash_watch.SentCall) -> None:
+    async def _check_lost_call(self, sent: _crash_watch.SentCall) -> None:
         """Check whether a call was lost because its target crashed."""
         self.watch.add_lost_call(sent)
         is_present = self.target.lifetime == sent.lifetime
         if is_present and self.target.is_open:
             if await self.watch.has_crashed():
-                self._note_end(sent.lifetime)
+                self._handle_crash(sent.lifetime)
 
     def _encode(self, call: _messages.TargetCall, remaining_ms: int) -> bytes:
         names = self.names
@@ -623,7 +630,7 @@
         if self._open_lifetime == lifetime:
             self._open_lifetime = None
             self._report_crash(lifetime)
-        self.target.forget()
+        self.target.discard()
         self.refresh_gate()
 
     def _is_intact(self, response: transport.Response) -> bool:
--- a/sedgering/model/_hosts.py
+++ b/sedgering/model/_hosts.py
@@ -7,23 +7,23 @@
 
 from sedgering import base
 from sedgering import mesh
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _config
 from sedgering.mesh import _decisions
 from sedgering.mesh import _exchange
 from sedgering.mesh import _gate
 from sedgering.mesh import _link
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _peers
-from sedgering.mesh import _room
 from sedgering.mesh import _sender
 from sedgering.mesh import _state
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering.model import _loads
 from sedgering.model import _results
 from sedgering.model import _targets
 from sedgering import transport
 
-__all__ = ['NAMES', 'ModelHost', 'ModelSide', 'WorkBook']
+__all__ = ['ModelHost', 'ModelTargetClient', 'NAMES', 'WorkBook']
 
 ADDRESS = '10.0.0.1'
 #: Ports are never opened.
@@ -44,10 +44,12 @@
         """Do nothing: the target ends what is under way itself."""
 
 
-class ModelSide(_target_side.TargetSide):
+class ModelTargetClient(_target_client.TargetClient):
     """Runs calls at a model target in place of a socket."""
 
-    def __init__(self, mesh_settings, link, room, gate, target, work_book):
+    def __init__(
+        self, mesh_settings, link, link_reservations, gate, target, work_book
+    ):
         addresses = mesh.Addresses(
             ADDRESS, PORT, PORT, PORT, PORT, ADDRESS, PORT
         )
@@ -58,8 +60,8 @@
             mesh.LocalTarget(),
             gate,
             link,
-            room,
-            _answer_room.AnswerRoom(None, gate.now_s),
+            link_reservations,
+            _answer_admission.AnswerAdmission(None, gate.now_s),
         )
         self.model_target: _targets.ModelTarget = target
         self.work_book: WorkBook = work_book
@@ -69,19 +71,19 @@
 
     async def _send(self, call, ticket):
         lifetime = self.target.lifetime
-        sent = self._make_sent(call, ticket, lifetime)
+        sent = self._make_sent_call(call, ticket, lifetime)
         connection = _ModelConnection()
-        self._busy[connection] = sent
+        self._in_flight[connection] = sent
         try:
             return await self._run_model(call, ticket)
         except _targets.TargetDown:
-            self._note_end(lifetime)
+            self._handle_crash(lifetime)
             return mesh.CallAnswer(
                 mesh.CallOutcome.NOT_RUN,
                 reason=mesh.RefusalReason.TARGET_UNKNOWN,
             )
         except _targets.TargetEnded:
-            await self._settle_loss(sent)
+            await self._check_lost_call(sent)
             return mesh.CallAnswer(
                 mesh.CallOutcome.UNKNOWN,
                 reason=mesh.RefusalReason.CONNECTION_LOST,
@@ -89,7 +91,7 @@
                 crashes=self._list_crashes(call),
             )
         finally:
-            del self._busy[connection]
+            del self._in_flight[connection]
 
     async def _run_model(self, call, ticket):
         work = self.work_book[call.request_id]
@@ -110,9 +112,11 @@
 class _ModelSender(_sender.CallSender):
     """Sends calls to other hosts of the model after the time of the way."""
 
-    def __init__(self, identity, side, peers, sides, load):
-        super().__init__(identity, side, peers)
-        self.sides: dict[base.HostId, ModelSide] = sides
+    def __init__(self, identity, target_client, peers, target_clients, load):
+        super().__init__(identity, target_client, peers)
+        self.target_clients: dict[base.HostId, ModelTargetClient] = (
+            target_clients
+        )
         self.load: _loads.Load = load
         self.sent = _results.SentCalls()
 
@@ -135,7 +139,7 @@
             remaining_ms=max(0, call.remaining_ms - lag_ms),
             goal_ms=max(0, call.goal_ms - lag_ms),
         )
-        answer = await self.sides[peer.row.host].run(arrived)
+        answer = await self.target_clients[peer.row.host].run(arrived)
         await asyncio.sleep(hop_s)
         self._take_report(peer, call, answer)
         return answer
@@ -173,10 +177,10 @@
         self.row = row
         self.target = target
         identity = mesh.MeshIdentity(row.host, row.data_centre, row.target_set)
-        self.side = ModelSide(
+        self.target_client = ModelTargetClient(
             mesh_settings,
             _link.LinkMeter(0, now_s),
-            _room.LinkRoom(0, now_s),
+            _link_reservations.LinkReservations(0, now_s),
             _gate.Gate(mesh_settings, now_s),
             target,
             work_book,
@@ -188,7 +192,7 @@
             _config.ConfigHolder(MESH_NAME),
             mesh.FleetTable(),
             _peers.PeerTable(mesh_settings),
-            self.side,
+            self.target_client,
             budget,
             _decisions.DecisionLog(10_000, 1, now_s),
             random.Random(seed),
@@ -200,9 +204,9 @@
         self.state.start.end()
         self.state.sender = _ModelSender(
             self.state.identity,
-            self.side,
+            self.target_client,
             self.state.peers,
-            {name: host.side for name, host in hosts.items()},
+            {name: host.target_client for name, host in hosts.items()},
             load,
         )
         self.report()
@@ -217,9 +221,11 @@
             0,
             1,
         )
-        self.side.target.take_report(report, self.side.gate.now_s())
-        self.side.note_lifetime()
-        self.side.refresh_gate()
+        self.target_client.target.take_report(
+            report, self.target_client.gate.now_s()
+        )
+        self.target_client.handle_new_lifetime()
+        self.target_client.refresh_gate()
 
     def renew(self) -> None:
         """Start another lifetime of the target, and report it."""
@@ -229,7 +235,7 @@
             self.row,
             target=base.TargetName(name),
             state=mesh.TargetState.READY,
-            crashes=self.side.watch.records,
+            crashes=self.target_client.watch.records,
         )
         self.report()
 
@@ -238,13 +244,13 @@
         self.row = msgspec.structs.replace(
             self.row,
             state=mesh.TargetState.DOWN,
-            crashes=self.side.watch.records,
+            crashes=self.target_client.watch.records,
         )
 
     def take_rows(self, rows: dict[base.HostId, mesh.MemberRow]) -> None:
         """Take over the rows of all hosts, as the store has them."""
         for row in rows.values():
-            self.state.crashes.take_row(row)
+            self.state.crashes.add_row(row)
         self.state.fleet.replace(rows)
 
     async def ask(
