--- a/benchmarks/bench_choice.py
+++ b/benchmarks/bench_choice.py
@@ -1,8 +1,8 @@
-"""Processor time of one choice, by the number of targets in the set.
+"""Processor time of choosing a target, by the size of the target set.
 
-Compares all targets with the few that are drawn, and with those of the own
-data centre before others.  The last line is one
-JSON object.
+Measures the choice among all targets, among a random sample of them, and among
+a sample that prefers targets of the caller's own data centre.  The last line
+is one JSON object.
 """
 
 import argparse
@@ -17,31 +17,34 @@
 DATA_CENTRES = 4
 ROUTE = 'calendar'
 US_PER_S = 1_000_000
-#: Some times the work: near targets are good enough, as they mostly are.
+#: Several times the work time, so that the local targets meet the goal, as
+#: they mostly do.
 GOAL_MS = 1000
 
 
 def main() -> None:
-    """Measure all sizes and print the figures."""
+    """Measure all set sizes and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--choices', type=int, default=2000)
     parser.add_argument(
         '--sizes', type=int, nargs='+', default=[6, 12, 24, 100, 300]
     )
     options = parser.parse_args()
-    results = {size: measure(size, options.choices) for size in options.sizes}
+    results = {
+        targets: measure(targets, options.choices) for targets in options.sizes
+    }
     print(json.dumps({'bench': 'choice', 'us_per_choice': results}))
 
 
-def measure(size: int, choices: int) -> dict[str, float]:
-    """Return the time of a choice among all, and among those drawn."""
+def measure(targets: int, choices: int) -> dict[str, float]:
+    """Return the processor time of each kind of choice in microseconds."""
     rows = [
         testing.make_member_row(
             f'host-{number}',
             data_centre=f'hall-{number % DATA_CENTRES}',
             port=number + 1,
         )
-        for number in range(size)
+        for number in range(targets)
     ]
     peers = mesh.PeerTable(mesh.MeshSettings())
     for row in rows:
@@ -49,30 +52,32 @@
         peers.record_report(peers.find(row), report, ROUTE, 0.0)
     rng = random.Random(1)
 
-    def choose(members) -> None:
+    def choose_among(candidates) -> None:
         costs = mesh.CallCosts(peers, 'hall-0', ROUTE, 0, False, 0.1)
-        mesh.choose_member(members, (), costs, rng)
+        mesh.choose_member(candidates, (), costs, rng)
 
-    def choose_near() -> None:
-        near, far = _choice.split_candidates(rows, 'hall-0', rng)
+    def choose_preferring_local() -> None:
+        local, remote = _choice.split_candidates(rows, 'hall-0', rng)
         costs = mesh.CallCosts(peers, 'hall-0', ROUTE, 0, False, 0.1, GOAL_MS)
-        mesh.choose_local_first(near, far, (), costs, rng)
+        mesh.choose_local_first(local, remote, (), costs, rng)
 
     return {
-        'near': time_us(choose_near, choices),
-        'all': time_us(lambda: choose(rows), choices),
-        'drawn': time_us(
-            lambda: choose(_choice.sample_candidates(rows, 'hall-0', rng)),
+        'near': measure_call_us(choose_preferring_local, choices),
+        'all': measure_call_us(lambda: choose_among(rows), choices),
+        'drawn': measure_call_us(
+            lambda: choose_among(
+                _choice.sample_candidates(rows, 'hall-0', rng)
+            ),
             choices,
         ),
     }
 
 
-def time_us(call, count: int) -> float:
-    """Return the processor time of one call."""
+def measure_call_us(function, count: int) -> float:
+    """Return the processor time of one call in microseconds."""
     started_s = time.process_time()
     for _ in range(count):
-        call()
+        function()
     elapsed_s = time.process_time() - started_s
     return round(elapsed_s * US_PER_S / count, 1)
 
--- a/benchmarks/bench_crashes.py
+++ b/benchmarks/bench_crashes.py
@@ -1,10 +1,10 @@
-"""What it costs to know of requests under which targets ended.
+"""Cost of tracking requests during which targets crashed.
 
     .venv/bin/python benchmarks/bench_crashes.py
 
-Least, median and most of five runs of a look at a request, in microseconds;
-the size of a row and of a message; the room of a full table.  The last line is
-one JSON object.
+Measures the lookup of a request in microseconds, as minimum, median and
+maximum of five runs; the sizes of member rows and of a crash notice in bytes;
+and the memory of a full table in bytes.  The last line is one JSON object.
 """
 
 import json
@@ -22,12 +22,12 @@
 from sedgering import transport
 
 RUNS = 5
-LOOKS = 20_000
-ENTRIES = 512
+LOOKUPS_PER_RUN = 20_000
+TABLE_ENTRIES = 512
 SUSPECTS = 18
 MAX_SUSPECTS = 32
 MAX_CRASHES = 4
-FIELDS = {
+HEADERS = {
     'host': 'calendar.example',
     'user-agent': 'sdk-client/1.9.3',
     'accept': '*/*',
@@ -37,17 +37,17 @@
 
 
 def make_request(number: int) -> transport.Request:
-    """Make a request such as callers send."""
+    """Make a typical request of a caller."""
     return transport.Request(
         'GET',
         f'/lepu270/{number:06x}',
-        list(FIELDS.items()),
-        fields=dict(FIELDS),
+        list(HEADERS.items()),
+        fields=dict(HEADERS),
     )
 
 
 def make_table(suspects: int) -> mesh.CrashTable:
-    """Make a table that knows some requests."""
+    """Make a table that holds one crash with some suspected requests."""
     settings = mesh.MeshSettings()
     table = mesh.CrashTable(
         settings.caller_fields, settings.quarantine_crashes, lambda: 0.0
@@ -57,40 +57,42 @@
 
 
 def make_record(
-    table: mesh.CrashTable, suspects: int, first: int
+    table: mesh.CrashTable, suspects: int, first_number: int
 ) -> mesh.CrashRecord:
-    """Make the record of an end."""
+    """Make the record of a crash with some suspected requests."""
     return mesh.CrashRecord(
         mesh.CrashId('i-7f3a91c2@1764727000000'),
         clock.wall_ms(),
         tuple(
-            table.make_fingerprint(make_request(first + number))
+            table.make_fingerprint(make_request(first_number + number))
             for number in range(suspects)
         ),
     )
 
 
-def measure_look(table: mesh.CrashTable, number: int) -> list[float]:
-    """Return how long one look takes: least, median and most."""
+def measure_lookup_us(table: mesh.CrashTable, number: int) -> list[float]:
+    """Return the minimum, median and maximum time of one lookup."""
     request = make_request(number)
     runs_us = [
-        timeit.timeit(lambda: table.find(request), number=LOOKS) / LOOKS * 1e6
+        timeit.timeit(lambda: table.find(request), number=LOOKUPS_PER_RUN)
+        / LOOKUPS_PER_RUN
+        * 1e6
         for _ in range(RUNS)
     ]
-    found = (min(runs_us), statistics.median(runs_us), max(runs_us))
-    return [round(value_us, 2) for value_us in found]
+    summary_us = (min(runs_us), statistics.median(runs_us), max(runs_us))
+    return [round(value_us, 2) for value_us in summary_us]
 
 
-def measure_rows() -> dict[str, int]:
-    """Return the sizes of what is sent where a target ends."""
+def measure_sizes_bytes() -> dict[str, int]:
+    """Return the sizes of the notice and rows sent after a crash."""
     table = make_table(0)
-    usual = make_record(table, SUSPECTS, 0)
+    typical = make_record(table, SUSPECTS, 0)
     largest = make_record(table, MAX_SUSPECTS, 0)
     largest = msgspec.structs.replace(largest, trials=largest.suspects)
-    sizes = {'message': len(_crash_notice.encode_notice(usual))}
+    sizes = {'message': len(_crash_notice.encode_notice(typical))}
     for name, crashes in (
         ('row_without_ends', ()),
-        ('row_one_end', (usual,)),
+        ('row_one_end', (typical,)),
         ('row_largest', (largest,) * MAX_CRASHES),
     ):
         row = testing.make_member_row('sidecar-1', crashes=crashes)
@@ -98,35 +100,35 @@
     return sizes
 
 
-def measure_table() -> int:
-    """Return the room of a full table in bytes."""
+def measure_table_bytes() -> int:
+    """Return the memory of a full table."""
     tracemalloc.start()
     table = make_table(0)
-    for number in range(ENTRIES):
+    for number in range(TABLE_ENTRIES):
         fingerprint = table.make_fingerprint(make_request(number))
         for crash in ('a', 'b', 'c'):
             name = mesh.CrashId(crash + 'i' * 20)
             table.add_crashes(fingerprint, (mesh.CrashEvidence(name, True),))
     size_bytes, _peak_bytes = tracemalloc.get_traced_memory()
-    assert len(table) == ENTRIES
+    assert len(table) == TABLE_ENTRIES
     return size_bytes
 
 
 def main() -> None:
-    """Measure, and print the figures."""
+    """Measure and print the results."""
     logging.disable(logging.CRITICAL)
-    looks_us = {
-        'nothing_known': measure_look(make_table(0), 0),
-        'another_url': measure_look(make_table(SUSPECTS), SUSPECTS),
-        'a_suspect': measure_look(make_table(SUSPECTS), 0),
+    lookups_us = {
+        'nothing_known': measure_lookup_us(make_table(0), 0),
+        'another_url': measure_lookup_us(make_table(SUSPECTS), SUSPECTS),
+        'a_suspect': measure_lookup_us(make_table(SUSPECTS), 0),
     }
-    figures = {
+    results = {
         'bench': 'crashes',
-        'look_us': looks_us,
-        'bytes': measure_rows(),
-        'table_bytes': measure_table(),
+        'look_us': lookups_us,
+        'bytes': measure_sizes_bytes(),
+        'table_bytes': measure_table_bytes(),
     }
-    print(json.dumps(figures))
+    print(json.dumps(results))
 
 
 if __name__ == '__main__':
