--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -1,8 +1,10 @@
-"""Faults during a load of bookings, uploads and browsing.
+"""Outcome of calls during faults of targets, proxies and the platform.
 
-Targets and proxies are killed, paused, drained and started, and the
-platform loses answers and goes away.  What callers were told is compared
-with ledgers that outlive the targets.  The last line is one JSON object.
+Callers book, upload and browse while targets and proxies are killed, paused,
+drained and started, and while the platform loses answers or is unavailable.
+The answers that callers received are compared with a ledger file of the calls
+that the targets ran, which outlives the targets.  The last line is one JSON
+object.
 """
 
 import argparse
@@ -16,16 +18,18 @@
 
 from sedgering import testing
 
-EXAMPLE = pathlib.Path(__file__).parent.parent / 'examples' / 'tuulai'
+EXAMPLE_DIRECTORY = (
+    pathlib.Path(__file__).parent.parent / 'examples' / 'tuulai'
+)
 HOST = 'tuulai.example'
 DATA_CENTRES = ('sukhbaatar', 'khan-uul', 'bayanzurkh')
 TARGET_SETS = ('calendar', 'ledger', 'archive')
-GROUPS = 3
+TARGET_GROUPS = 3
 CALLERS = 8
-CALL_PAUSE_S = 0.02
+CALL_INTERVAL_S = 0.02
 SLOTS = 12
 WORK_MS = 10
-CALLS = (
+CALL_KINDS = (
     testing.CallKind('GET', '/calendar/halls'),
     testing.CallKind('POST', '/bookings', 300, False, True),
     testing.CallKind('GET', '/calendar/halls/3'),
@@ -33,29 +37,32 @@
 )
 
 
-class Bench:
-    """A fleet, its groups of targets, and what was done to them."""
+class FaultInjector:
+    """Causes faults in a fleet and its groups of targets.
+
+    The names of the fault methods are printed.
+    """
 
     def __init__(self, fleet: testing.Fleet):
         self.fleet = fleet
         self.ledger_file = fleet.folder / 'ledger.txt'
-        self.processes = []
-        self.groups = []
-        self.drain_ms = None
+        self.target_processes = []
+        self.target_groups = []
+        self.last_run_after_draining_ms = None
 
     def start(self) -> None:
-        """Start everything and roll the example."""
+        """Start the fleet and roll the example bundle."""
         fleet = self.fleet
         fleet.start_platform()
         fleet.add_proxies(DATA_CENTRES * 2)
         fleet.wait_members()
-        for number in range(GROUPS):
+        for number in range(TARGET_GROUPS):
             self.start_targets(number)
-        fleet.wait_version(fleet.roll_file(EXAMPLE / 'bundle.yaml'))
-        self.wait_targets(GROUPS)
+        fleet.wait_version(fleet.roll_file(EXAMPLE_DIRECTORY / 'bundle.yaml'))
+        self.wait_targets(TARGET_GROUPS)
 
     def start_targets(self, number: int) -> None:
-        """Start one target of each set in one process."""
+        """Start a group: one target of each target set, in one process."""
         targets = self.fleet.make_targets(
             [self.fleet.proxies[number]],
             TARGET_SETS,
@@ -63,57 +70,57 @@
             work_ms=WORK_MS,
             ledger_file=str(self.ledger_file),
         )
-        self.groups.append(targets)
-        self.processes.append(self.fleet.start_targets(targets))
+        self.target_groups.append(targets)
+        self.target_processes.append(self.fleet.start_targets(targets))
 
     def wait_targets(self, count: int) -> None:
-        """Wait until every proxy knows so many targets of each set."""
+        """Wait until every proxy knows a number of targets of each set."""
         expected = dict.fromkeys(TARGET_SETS, count)
         self.fleet.wait_targets(expected)
 
     def kill_targets(self) -> None:
-        """Kill a group of targets at work, and start another one."""
-        self.processes[0].send_signal(signal.SIGKILL)
+        """Kill a group of targets during calls, and start another group."""
+        self.target_processes[0].send_signal(signal.SIGKILL)
         time.sleep(3)
         self.start_targets(0)
 
     def pause_targets(self) -> None:
-        """Stop a group of targets for two seconds, then let it go on."""
-        self.processes[1].send_signal(signal.SIGSTOP)
+        """Suspend a group of targets for two seconds, then resume it."""
+        self.target_processes[1].send_signal(signal.SIGSTOP)
         time.sleep(2)
-        self.processes[1].send_signal(signal.SIGCONT)
+        self.target_processes[1].send_signal(signal.SIGCONT)
 
     def drain_targets(self) -> None:
-        """Let a group leave, and note when it got its last new work."""
-        self.processes[2].send_signal(signal.SIGTERM)
+        """Drain a group; record how long after that it last ran a call."""
+        self.target_processes[2].send_signal(signal.SIGTERM)
         time.sleep(3)
-        self.drain_ms = max(
+        self.last_run_after_draining_ms = max(
             (self.fleet.get_json(item['port'], '/standin/counts') or {}).get(
                 'last_run_after_draining_ms', 0
             )
-            for item in self.groups[2]
+            for item in self.target_groups[2]
         )
 
     def lose_answers(self) -> None:
-        """Let answers of the table be lost after the write."""
+        """Lose answers of the platform after it has done the write."""
         for _ in range(6):
             self.fleet.set_faults(lose_answers=2)
             time.sleep(0.5)
         self.fleet.set_faults()
 
     def stop_table(self) -> None:
-        """Let the platform be away for three seconds."""
+        """Make the platform unavailable for three seconds."""
         self.fleet.set_faults(mode='busy')
         time.sleep(3)
         self.fleet.set_faults()
 
     def leave_proxy(self) -> None:
-        """Let a proxy leave gracefully while callers use it."""
+        """Deregister a proxy gracefully while callers use it."""
         self.fleet.proxies[-1].process.send_signal(signal.SIGTERM)
         time.sleep(3)
 
     def kill_proxy(self) -> None:
-        """Kill a proxy at work, and start it anew."""
+        """Kill a proxy during calls, and restart it."""
         proxy = self.fleet.proxies[-2]
         proxy.process.send_signal(signal.SIGKILL)
         time.sleep(1)
@@ -121,28 +128,28 @@
         time.sleep(3)
 
     def read_ledger(self) -> collections.Counter:
-        """Return how often each call ran."""
+        """Return how often each call was run."""
         return collections.Counter(self.ledger_file.read_text().split())
 
 
 def main() -> None:
-    """Run the faults one after the other, and judge each window."""
+    """Cause the faults one after another and check the calls of each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--calm-s', type=float, default=2.0)
     options = parser.parse_args()
     with testing.make_fleet('tuulai') as fleet:
-        bench = Bench(fleet)
-        bench.start()
+        injector = FaultInjector(fleet)
+        injector.start()
         ports = [proxy.data_port for proxy in fleet.proxies]
         verdicts = {}
         for fault in (
-            bench.lose_answers,
-            bench.stop_table,
-            bench.pause_targets,
-            bench.kill_targets,
-            bench.drain_targets,
-            bench.leave_proxy,
-            bench.kill_proxy,
+            injector.lose_answers,
+            injector.stop_table,
+            injector.pause_targets,
+            injector.kill_targets,
+            injector.drain_targets,
+            injector.leave_proxy,
+            injector.kill_proxy,
         ):
             callers = start_callers(ports, len(verdicts))
             time.sleep(options.calm_s / 2)
@@ -151,18 +158,22 @@
             for caller in callers:
                 caller.stop()
             records = [item for caller in callers for item in caller.records]
-            verdict = testing.judge_calls(records, bench.read_ledger())
+            verdict = testing.judge_calls(records, injector.read_ledger())
             verdicts[fault.__name__] = verdict
             row = {'fault': fault.__name__, **msgspec.to_builtins(verdict)}
             print(json.dumps(row), flush=True)
-    print(json.dumps(summarise(verdicts, bench)))
+    print(json.dumps(summarise(verdicts, injector)))
 
 
-def start_callers(ports: list[int], window: int) -> list[testing.Caller]:
-    """Start callers with ids of their own."""
+def start_callers(ports: list[int], run_number: int) -> list[testing.Caller]:
+    """Start callers with ids that no other run of callers uses."""
     callers = [
         testing.Caller(
-            ports, HOST, CALLS, window * CALLERS + index, CALL_PAUSE_S
+            ports,
+            HOST,
+            CALL_KINDS,
+            run_number * CALLERS + index,
+            CALL_INTERVAL_S,
         )
         for index in range(CALLERS)
     ]
@@ -171,10 +182,10 @@
     return callers
 
 
-def summarise(verdicts: dict, bench: Bench) -> dict:
-    """Add all windows up."""
+def summarise(verdicts: dict, injector: FaultInjector) -> dict:
+    """Return the totals over all faults."""
 
-    def total(field: str) -> int:
+    def sum_field(field: str) -> int:
         return sum(getattr(item, field) for item in verdicts.values())
 
     fields = (
@@ -190,8 +201,8 @@
     )
     return {
         'bench': 'faults',
-        **{field: total(field) for field in fields},
-        'last_new_work_after_draining_ms': bench.drain_ms,
+        **{field: sum_field(field) for field in fields},
+        'last_new_work_after_draining_ms': injector.last_run_after_draining_ms,
     }
 
 
--- a/benchmarks/bench_restart.py
+++ b/benchmarks/bench_restart.py
@@ -1,14 +1,14 @@
-"""From power on to the first good answer, with all hosts starting at once.
+"""Time from power on to the first good answer, as all hosts start at once.
 
-Daemons and the stand-in store run as processes of their own, targets and
-callers in this one.  All daemons and targets are killed, and started again
-at the same moment; a caller of each host asks again and again.  The table
-has the time from the start of each process, in milliseconds, as median and
-worst over the hosts, and the processor time and memory of the processes.
-The last line is one JSON object.
+Daemons and the stand-in store run in their own processes, targets and callers
+in this one.  All daemons and targets are killed, then started again at the
+same time; one caller for each host retries until it gets a good answer.  The
+table has the time of each step since the start of the daemon in milliseconds,
+and the processor time and peak memory of the daemon, each as median and worst
+value of all hosts.  The last line is one JSON object.
 
-The machine is shared by all processes: with more hosts than cores the times
-grow, the processor times do not.
+All processes share the machine: with more hosts than cores the elapsed times
+grow, but the processor times do not.
 """
 
 import argparse
@@ -27,30 +27,30 @@
 from soak import _daemons
 from soak import _world
 
-#: Routes of the version; a large deployment of the users has 1,200.
+#: Routes of the version; a large deployment has 1,200.
 ROUTES = 1217
-#: Messages of a daemon's log, and the step that each of them ends.
-STEPS = {
+#: The step of the start that each log message of a daemon completes.
+STEPS_BY_MESSAGE = {
     'started': 'listening',
     'target reported': 'target known',
     'row written': 'own row written',
     'version in force': 'version in force',
 }
 FIRST_ANSWER = 'first good answer'
-PAUSE_S = 0.02
-PATIENCE_S = 20.0
+RETRY_INTERVAL_S = 0.02
+FIRST_ANSWER_TIMEOUT_S = 20.0
 SETTLE_S = 3.0
 TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 
 
 def make_version() -> bytes:
-    """Make the operator's document: one route for callers, and many more."""
+    """Make the operator's document: a route for callers and many others."""
     routes = [{'prefix': f'/p{number}/'} for number in range(ROUTES)]
     return testing.make_document(2, routes)
 
 
-async def find_first_answer_s(daemon: _daemons.Daemon) -> float:
-    """Ask until an answer is good; return when that was."""
+async def wait_for_first_answer(daemon: _daemons.Daemon) -> float:
+    """Send requests until one succeeds; return the time of its answer."""
     headers = [
         ('Host', 'calendar.example'),
         (platform.HEADERS.deadline_ms, '1000'),
@@ -58,54 +58,59 @@
     number = 0
     while True:
         number += 1
-        own = (platform.HEADERS.request_id, f'{daemon.name}-{number}')
-        request = transport.Request('GET', '/p0/', [*headers, own])
+        request_id_header = (
+            platform.HEADERS.request_id,
+            f'{daemon.name}-{number}',
+        )
+        request = transport.Request(
+            'GET', '/p0/', [*headers, request_id_header]
+        )
         try:
             connection = await transport.connect(
                 daemon.address, _daemons.CALLERS_PORT, 1.0
             )
             response = await connection.exchange(
-                transport.encode_request(request), lambda _answer: True
+                transport.encode_request(request), lambda _response: True
             )
             connection.close()
         except (transport.ConnectFailed, transport.ExchangeFailed):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             continue
         if response.status == 200:
             return time.time()
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 def read_steps_ms(log: pathlib.Path, started_s: float) -> dict[str, float]:
-    """Return when each step ended, from the lines of a daemon's log."""
+    """Return when each step was completed, from the log of a daemon."""
     found: dict[str, float] = {}
     for line in log.read_text().splitlines():
         if not line.startswith('{'):
             continue
         record = json.loads(line)
-        moment = datetime.datetime.fromisoformat(record['time']).timestamp()
-        step = STEPS.get(record['message'])
-        if step is not None and moment >= started_s:
-            found.setdefault(step, (moment - started_s) * 1000)
+        logged_s = datetime.datetime.fromisoformat(record['time']).timestamp()
+        step = STEPS_BY_MESSAGE.get(record['message'])
+        if step is not None and logged_s >= started_s:
+            found.setdefault(step, (logged_s - started_s) * 1000)
     return found
 
 
-def read_process(pid: int) -> tuple[float, float]:
+def read_process_usage(pid: int) -> tuple[float, float]:
     """Return processor time in ms and peak memory in MB of a process."""
     stat = pathlib.Path(f'/proc/{pid}/stat').read_text().rpartition(') ')[2]
     fields = stat.split()
     ticks = int(fields[11]) + int(fields[12])
     status = pathlib.Path(f'/proc/{pid}/status').read_text()
-    peak = next(
+    peak_kb = next(
         line.split()[1]
         for line in status.splitlines()
         if line.startswith('VmHWM')
     )
-    return ticks * 1000 / TICKS_PER_S, int(peak) / 1024
+    return ticks * 1000 / TICKS_PER_S, int(peak_kb) / 1024
 
 
 async def measure(folder: pathlib.Path, hosts: int) -> dict:
-    """Start a fleet, kill it, start it again, and measure that."""
+    """Start a fleet, kill it, and measure its restart."""
     world = _world.World(folder, _world.WorldSettings(1, hosts, callers=0))
     for daemon in world.daemons:
         daemon.is_suspendable = False
@@ -122,11 +127,15 @@
         for daemon in world.daemons:
             started_s[daemon.name] = time.time()
             await daemon.start()
-            answers.append(asyncio.ensure_future(find_first_answer_s(daemon)))
+            answers.append(
+                asyncio.ensure_future(wait_for_first_answer(daemon))
+            )
         await asyncio.gather(*(target.start() for target in world.targets))
-        first = await asyncio.wait_for(asyncio.gather(*answers), PATIENCE_S)
+        first_answers_s = await asyncio.wait_for(
+            asyncio.gather(*answers), FIRST_ANSWER_TIMEOUT_S
+        )
         await asyncio.sleep(SETTLE_S)
-        return summarize(folder, world, started_s, first)
+        return summarize(folder, world, started_s, first_answers_s)
     finally:
         await world.stop()
 
@@ -135,15 +144,15 @@
     folder: pathlib.Path,
     world: _world.World,
     started_s: dict[str, float],
-    first_s: list[float],
+    first_answers_s: list[float],
 ) -> dict:
-    """Make the table of medians and worst values."""
+    """Return the median and worst value of each step."""
     values: dict[str, list[float]] = {}
-    for daemon, answered_s in zip(world.daemons, first_s):
+    for daemon, answered_s in zip(world.daemons, first_answers_s):
         start_s = started_s[daemon.name]
         steps = read_steps_ms(folder / f'{daemon.name}.log', start_s)
         steps[FIRST_ANSWER] = (answered_s - start_s) * 1000
-        processor_ms, peak_mb = read_process(daemon.process.pid)
+        processor_ms, peak_mb = read_process_usage(daemon.process.pid)
         steps['processor time'] = processor_ms
         steps['peak memory, MB'] = peak_mb
         for name, value in steps.items():
@@ -159,7 +168,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure the restart and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--hosts', type=int, default=8)
     arguments = parser.parse_args()
