--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -90,7 +90,7 @@
         self.retry_after_shares = overload.RETRY_AFTER_SHARES
         #: Whether it ended because its target set was overloaded.
         self.ended_overloaded = False
-        #: Token taken from the quota of the workspace.
+        #: The token taken from the quota of the workspace.
         self.token: quota.Permit | None = None
         self.stated_timeout_ms = 0
         #: Set once attempts begin.
