--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -135,9 +135,7 @@
     'where none are'
 )
 def step_distance(context, gain, quicker):
-    context.remote_threshold = balance.make_remote_threshold(
-        gain, 0, 0, quicker
-    )
+    context.distance = balance.make_distance(gain, 0, 0, quicker)
 
 
 @when('{share:d} of 100 end in time near, after {expected:d} ms')
@@ -152,9 +150,9 @@
 
 @then('it goes {where}')
 def step_goes(context, where):
-    threshold = context.remote_threshold
-    is_far = threshold.may_gain(context.near)
-    is_far = is_far and threshold.prefers_remote(context.near, context.far)
+    distance = context.distance
+    is_far = distance.is_worth_asking(context.near)
+    is_far = is_far and distance.prefers_far(context.near, context.far)
     assert is_far is (where == 'elsewhere')
 
 
@@ -163,14 +161,12 @@
     '{per_kb:d} for each kB'
 )
 def step_large_answer(context, size, gain, per_kb):
-    context.remote_threshold = balance.make_remote_threshold(
-        gain, per_kb, size, 40
-    )
+    context.distance = balance.make_distance(gain, per_kb, size, 40)
 
 
 @then('it leaves for more than {gain:d} of 100')
 def step_gain(context, gain):
-    assert round(100 * context.remote_threshold.min_gain_share) == gain
+    assert round(100 * context.distance.min_gain_share) == gain
 
 
 @given(
@@ -178,7 +174,7 @@
     'spread by {spread:g}'
 )
 def step_ends(context, factor, spread):
-    context.ends = balance.CompletionTimes()
+    context.ends = balance.EndTimes()
     rng = random.Random(1)
     for _ in range(CALLS):
         elapsed_ms = 100 * factor * rng.lognormvariate(0, spread)
@@ -202,7 +198,7 @@
     @strategies.PROPERTY
     @hypothesis.given(notes, times_ms, times_ms, times_ms)
     def check(learned, expected_ms, one_ms, other_ms):
-        ends = balance.CompletionTimes()
+        ends = balance.EndTimes()
         for past_ms, elapsed_ms in learned:
             ends.note(SET, past_ms, elapsed_ms)
         shares = [
@@ -308,7 +304,7 @@
 
     def __init__(self):
         self.now_s = 0.0
-        self.speed = balance.OwnTargetSpeed(lambda: self.now_s)
+        self.speed = balance.OwnSpeed(lambda: self.now_s)
 
     def report(self, percent: int) -> None:
         """Let the target report its slowness."""
@@ -324,10 +320,10 @@
 
 @given('a target that reported a slowness of {percent:d} %, and 100 % before')
 def step_reported_slowness(context, percent):
-    context.slowness = balance.HostSlowness()
+    context.moment = balance.MomentSpeed()
     for _ in range(CALLS):
-        context.slowness.note(100, 0.0)
-    context.slowness.note(percent, 1.0)
+        context.moment.note(100, 0.0)
+    context.moment.note(percent, 1.0)
 
 
 @then(
@@ -335,7 +331,7 @@
     '{most:d} %'
 )
 def step_moment(context, age_ms, least, most):
-    found = context.slowness.find_percent(1.0 + age_ms / 1000)
+    found = context.moment.find_percent(1.0 + age_ms / 1000)
     assert least <= found <= most, found
 
 
@@ -398,13 +394,13 @@
 
 @then('a call with {left_ms:d} ms left may run')
 def step_may_run(context, left_ms):
-    delay_ms = context.speed.speed.estimate_delay_ms(SET, left_ms)
+    delay_ms = context.speed.speed.find_delay_ms(SET, left_ms)
     assert delay_ms == 0, delay_ms
 
 
 @then('a call with {left_ms:d} ms left is delayed {least:d} to {most:d} ms')
 def step_delayed(context, left_ms, least, most):
-    delay_ms = context.speed.speed.estimate_delay_ms(SET, left_ms)
+    delay_ms = context.speed.speed.find_delay_ms(SET, left_ms)
     assert least <= delay_ms <= most, delay_ms
 
 
--- a/features/steps/centres_steps.py
+++ b/features/steps/centres_steps.py
@@ -13,12 +13,12 @@
     """Demand reported by gates, and a clock."""
 
     def __init__(self):
-        self.demand = balance.DataCentreDemand()
+        self.demand = balance.CentreDemand()
         self.now_s = 100.0
 
-    def is_saturated(self, data_centre: str) -> bool:
+    def is_short(self, data_centre: str) -> bool:
         """Whether a data centre has no spare capacity now."""
-        return self.demand.is_saturated(SET, data_centre, self.now_s)
+        return self.demand.is_short(SET, data_centre, self.now_s)
 
 
 @given('{count:d} gates near that report a demand of {percent:d} %')
@@ -42,14 +42,14 @@
 
 @then('the data centre is saturated')
 def step_short(context):
-    assert context.centres.is_saturated('near')
+    assert context.centres.is_short('near')
 
 
 @then('the data centre is not saturated')
 def step_not_short(context):
-    assert not context.centres.is_saturated('near')
+    assert not context.centres.is_short('near')
 
 
 @then('another data centre is not saturated')
 def step_other(context):
-    assert not context.centres.is_saturated('elsewhere')
+    assert not context.centres.is_short('elsewhere')
--- a/sedgering/balance/__init__.py
+++ b/sedgering/balance/__init__.py
@@ -1,19 +1,19 @@
 """Load balancing over uneven targets and demand: pure decisions, no I/O.
 
 :func:`decode_target_load` reads the load reports of targets.
-:class:`OwnTargetSpeed` and :class:`HostSlowness` separate the current speed
-of a host from the time that the work itself takes.  :class:`CompletionTimes`
-learns from earlier calls how likely a call is to end in time at a target, and
+:class:`OwnSpeed` and :class:`MomentSpeed` separate the current speed of a host
+from the time that the work itself takes.  :class:`EndTimes` learns from
+earlier calls how likely a call is to end in time at a target, and
 :class:`RemoteThreshold` uses that to decide whether the call leaves its data
 centre.
 """
 
-from sedgering.balance._centre_demand import DataCentreDemand
-from sedgering.balance._end_times import CompletionTimes
-from sedgering.balance._host_speed import HostSlowness
+from sedgering.balance._centre_demand import CentreDemand
+from sedgering.balance._end_times import EndTimes
+from sedgering.balance._host_speed import MomentSpeed
 from sedgering.balance._host_speed import NormalWork
-from sedgering.balance._own_speed import OwnTargetSpeed
-from sedgering.balance._remote import make_remote_threshold
+from sedgering.balance._own_speed import OwnSpeed
+from sedgering.balance._remote import make_distance
 from sedgering.balance._remote import Offer
 from sedgering.balance._remote import RemoteThreshold
 from sedgering.balance._target_load import decode_target_load
@@ -22,16 +22,16 @@
 from sedgering.balance._target_load import TargetLoad
 
 __all__ = [
-    'CompletionTimes',
-    'DataCentreDemand',
-    'HostSlowness',
+    'CentreDemand',
+    'EndTimes',
     'MAX_SLOTS',
     'MAX_SLOWNESS_PERCENT',
+    'MomentSpeed',
     'NormalWork',
     'Offer',
-    'OwnTargetSpeed',
+    'OwnSpeed',
     'RemoteThreshold',
     'TargetLoad',
     'decode_target_load',
-    'make_remote_threshold',
+    'make_distance',
 ]
--- a/sedgering/balance/_centre_demand.py
+++ b/sedgering/balance/_centre_demand.py
@@ -6,7 +6,7 @@
 
 from sedgering import base
 
-__all__ = ['DataCentreDemand']
+__all__ = ['CentreDemand']
 
 #: Demand, as a percentage of the capacity of a target set, above which a data
 #: centre has none to spare: a call from elsewhere displaces a local one.
@@ -29,7 +29,7 @@
         return self.percent * 0.5 ** ((now_s - self.updated_s) / HALF_LIFE_S)
 
 
-class DataCentreDemand:
+class CentreDemand:
     """Demand on each target set, by data centre.
 
     When all data centres lack capacity, a call that leaves its own takes a
@@ -68,7 +68,7 @@
         )
         demand.updated_s = now_s
 
-    def is_saturated(
+    def is_short(
         self,
         target_set: base.TargetSetName,
         data_centre: base.DataCentre,
--- a/sedgering/balance/_end_times.py
+++ b/sedgering/balance/_end_times.py
@@ -5,7 +5,7 @@
 
 from sedgering import base
 
-__all__ = ['CompletionTimes']
+__all__ = ['EndTimes']
 
 #: Weight of the newest call in the moving averages: about the last hundred
 #: calls count, which are some seconds of a route at one daemon.
@@ -42,7 +42,7 @@
         )
 
 
-class CompletionTimes:
+class EndTimes:
     """Distribution of the elapsed times of calls around the expected ones.
 
     It covers both the spread of the work of a route and the errors of the
--- a/sedgering/balance/_host_speed.py
+++ b/sedgering/balance/_host_speed.py
@@ -4,7 +4,7 @@
 
 from sedgering import base
 
-__all__ = ['HostSlowness', 'NormalWork']
+__all__ = ['MomentSpeed', 'NormalWork']
 
 #: For how long a reported slowness may hold: the load of other processes on
 #: the host of a target changes several times a second.
@@ -17,7 +17,7 @@
 WORK_WEIGHT = 0.1
 
 
-class HostSlowness:
+class MomentSpeed:
     """Last reported and average slowness of the host of a target."""
 
     __slots__ = (
--- a/sedgering/balance/_own_speed.py
+++ b/sedgering/balance/_own_speed.py
@@ -8,7 +8,7 @@
 from sedgering.balance import _target_load
 from sedgering import base
 
-__all__ = ['OwnTargetSpeed']
+__all__ = ['OwnSpeed']
 
 #: Loss in the share of calls in time, due to the current slowness, from which
 #: a call is returned to its sender: asking another host costs a round trip of
@@ -16,7 +16,7 @@
 MIN_LOSS_SHARE = 0.1
 
 
-class OwnTargetSpeed:
+class OwnSpeed:
     """Current and average slowness of the own target, and its work times.
 
     Parameters
@@ -27,9 +27,9 @@
 
     def __init__(self, now_s: Callable[[], float]):
         self.now_s = now_s
-        self.current_speed = _host_speed.HostSlowness()
+        self.current_speed = _host_speed.MomentSpeed()
         self.work = _host_speed.NormalWork()
-        self._completion_times = _end_times.CompletionTimes()
+        self._end_times = _end_times.EndTimes()
 
     @property
     def is_known(self) -> bool:
@@ -67,11 +67,11 @@
             return
         expected_ms = self.work.find_ms(route) * begin_percent / 100
         if expected_ms:
-            self._completion_times.note(route, expected_ms, elapsed_ms)
+            self._end_times.note(route, expected_ms, elapsed_ms)
         mean_percent = (begin_percent + self.percent) / 2
         self.work.note(route, elapsed_ms, mean_percent)
 
-    def estimate_delay_ms(self, route: base.RouteName, left_ms: float) -> int:
+    def find_delay_ms(self, route: base.RouteName, left_ms: float) -> int:
         """Return the delay of a call by the current slowness, if it matters.
 
         0 if the share of such calls that end in time is about the same as on
@@ -91,7 +91,7 @@
         if percents[1] <= percents[0]:
             return 0
         average_share, share = (
-            self._completion_times.find_share(
+            self._end_times.find_share(
                 route, normal_ms * percent / 100, left_ms
             )
             for percent in percents
@@ -103,4 +103,4 @@
     def retain(self, routes: Collection[base.RouteName]) -> None:
         """Forget routes that are no longer in force."""
         self.work.retain(routes)
-        self._completion_times.retain(routes)
+        self._end_times.retain(routes)
--- a/sedgering/balance/_remote.py
+++ b/sedgering/balance/_remote.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-__all__ = ['Offer', 'RemoteThreshold', 'make_remote_threshold']
+__all__ = ['Offer', 'RemoteThreshold', 'make_distance']
 
 BYTES_PER_KB = 1000
 #: Upper bound of the required gain, however large an answer is: a call whose
@@ -46,11 +46,11 @@
     min_gain_share: float
     min_saved_ms: float
 
-    def may_gain(self, near: Offer) -> bool:
+    def is_worth_asking(self, near: Offer) -> bool:
         """Whether any target elsewhere could meet the required gain."""
         return near.in_time_share + self.min_gain_share < 1
 
-    def prefers_remote(self, near: Offer, far: Offer) -> bool:
+    def prefers_far(self, near: Offer, far: Offer) -> bool:
         """Whether the call goes to the target in another data centre.
 
         Parameters
@@ -68,7 +68,7 @@
         return far.expected_ms + self.min_saved_ms < near.expected_ms
 
 
-def make_remote_threshold(
+def make_distance(
     gain_percent: float,
     gain_percent_per_kb: float,
     size_bytes: float,
--- a/sedgering/mesh/_choice.py
+++ b/sedgering/mesh/_choice.py
@@ -133,7 +133,7 @@
         remote_ms = limits.remote_penalty_ms
         remote_ms += limits.remote_penalty_us_per_byte * way_bytes / 1000
         self._remote_ms = remote_ms
-        self.remote_threshold = balance.make_remote_threshold(
+        self.distance = balance.make_distance(
             limits.remote_gain_percent,
             limits.remote_gain_percent_per_kb,
             way_bytes,
@@ -169,7 +169,7 @@
         expected_ms = self.estimate_ms(peer)
         if peer.row.data_centre != self._data_centre:
             expected_ms -= self._remote_ms
-        share = self.peers.completion_times.find_share(
+        share = self.peers.end_times.find_share(
             self._route, expected_ms, self._left_ms
         )
         return balance.Offer(expected_ms, share)
@@ -296,12 +296,12 @@
     if known is None:
         return choose_member(far, tried, costs, rng)
     offer = costs.make_offer(known)
-    if not costs.remote_threshold.may_gain(offer):
+    if not costs.distance.is_worth_asking(offer):
         return best
     other = choose_member(far, tried, costs, rng)
     if other is None or _has_recent_failure(other, costs.now_s):
         return best
-    if costs.remote_threshold.prefers_remote(offer, costs.make_offer(other)):
+    if costs.distance.prefers_far(offer, costs.make_offer(other)):
         return other
     return best
 
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -225,15 +225,15 @@
         """
         if self.call.urgency is _messages.CallUrgency.TARGET:
             return far
-        is_saturated = self.state.centres.is_saturated
+        is_short = self.state.centres.is_short
         now_s = self._now_s
         own = self.state.identity.data_centre
-        if not is_saturated(self.call.target_set, own, now_s):
+        if not is_short(self.call.target_set, own, now_s):
             return far
         return [
             row
             for row in far
-            if not is_saturated(self.call.target_set, row.data_centre, now_s)
+            if not is_short(self.call.target_set, row.data_centre, now_s)
         ]
 
     def _choose_sampled(
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -354,7 +354,7 @@
         """Record the actual against the estimated duration of a call."""
         if answer.outcome is _Outcome.ANSWERED:
             elapsed_ms = (self._now_s - attempt.started_s) * 1000
-            self.state.peers.completion_times.note(
+            self.state.peers.end_times.note(
                 self.route.name, attempt.expected_ms, elapsed_ms
             )
 
--- a/sedgering/mesh/_peers.py
+++ b/sedgering/mesh/_peers.py
@@ -94,7 +94,7 @@
         #: Reported work time by route, and when it was reported.
         self._route_work: dict[base.RouteName, tuple[int, float]] = {}
         self._cold_until_s = 0.0
-        self._speed = balance.HostSlowness()
+        self._speed = balance.MomentSpeed()
         #: Mean number of calls of other daemons at the target, and of those
         #: among them that go before a call of a target.
         self._mean_present = 0.0
@@ -450,7 +450,7 @@
         self.mesh_settings = mesh_settings
         self._peers: dict[base.HostId, Peer] = {}
         #: Actual against estimated durations of calls.
-        self.completion_times = balance.CompletionTimes()
+        self.end_times = balance.EndTimes()
         self._typical_ms: dict[base.RouteName, float] = {}
         self._answer_bytes: dict[base.RouteName, float] = {}
 
@@ -484,7 +484,7 @@
         for table in (self._typical_ms, self._answer_bytes):
             for route in table.keys() - set(routes):
                 del table[route]
-        self.completion_times.retain(routes)
+        self.end_times.retain(routes)
 
     def find(self, row: _messages.MemberRow) -> Peer:
         """Return the peer of a row; a new target has no known load."""
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -82,7 +82,7 @@
         self.callers = _callers.CallerTable()
         self.search_stats = _search.SearchStats()
         self.admission = overload.AdmissionController()
-        self.centres = balance.DataCentreDemand()
+        self.centres = balance.CentreDemand()
         self.start = _start.StartupWait()
         self.serving = _serving.ServingDeadline()
         #: Returns how current the version in force is.
--- a/sedgering/mesh/_target_client.py
+++ b/sedgering/mesh/_target_client.py
@@ -83,7 +83,7 @@
         self.link = link
         self.link_reservations = link_reservations
         self.answer_admission = answer_admission
-        self.speed = balance.OwnTargetSpeed(gate.now_s)
+        self.speed = balance.OwnSpeed(gate.now_s)
         self.is_leaving = False
         #: The member row of this host, once it is known.
         self.row: _messages.MemberRow | None = None
@@ -169,7 +169,7 @@
                 self._report_crash(previous)
             LOG.info('target replaced', extra={'target': current.target})
             self.gate.reset_statistics()
-            self.speed = balance.OwnTargetSpeed(self.gate.now_s)
+            self.speed = balance.OwnSpeed(self.gate.now_s)
             self.pool.close()
         if is_restart:
             self._close_calls(self.target.previous_reported_s)
@@ -281,7 +281,7 @@
         least.
         """
         left_ms = call.goal_ms or call.remaining_ms
-        delay_ms = self.speed.estimate_delay_ms(call.route, left_ms)
+        delay_ms = self.speed.find_delay_ms(call.route, left_ms)
         if call.may_wait or not delay_ms:
             return None
         return self._refuse(call, _messages.RefusalReason.BUSY, delay_ms)
