--- a/features/steps/model_steps.py
+++ b/features/steps/model_steps.py
@@ -1,4 +1,4 @@
-"""Steps over load patterns that are played in virtual time."""
+"""Steps for load patterns that are simulated."""
 
 import pathlib
 import tempfile
@@ -23,12 +23,12 @@
 
 
 @when('it is played with seed {seed:d}')
-def step_play(context, seed):
+def step_simulate(context, seed):
     context.result = model.play(context.load, seed)
 
 
 @when('it is played twice with seed {seed:d}')
-def step_play_twice(context, seed):
+def step_simulate_twice(context, seed):
     context.results = [model.play(context.load, seed) for _ in range(2)]
 
 
@@ -40,47 +40,45 @@
 
 @then('at least {percent:d} % of "{kind}" end within their goal')
 def step_in_goal(context, percent, kind):
-    found = context.result.kinds[kind]
-    assert found.in_goal * 100 >= percent * found.asked, found
+    result = context.result.kinds[kind]
+    assert result.in_goal * 100 >= percent * result.asked, result
 
 
-@then('at most {most:d} targets end')
-def step_ends(context, most):
+@then('at most {most:d} targets crash')
+def step_crashes(context, most):
     assert 0 < context.result.ends <= most, context.result.ends
 
 
-@then('at most {percent:d} % of "{kind}" are refused in the end')
+@then('at most {percent:d} % of "{kind}" are refused at their last attempt')
 def step_refused(context, percent, kind):
-    found = context.result.kinds[kind]
-    assert found.refused * 100 <= percent * found.asked, found
+    result = context.result.kinds[kind]
+    assert result.refused * 100 <= percent * result.asked, result
 
 
-@then(
-    'callers that are refused were held for {most_ms:d} ms at most on average'
-)
-def step_held(context, most_ms):
+@then('refused attempts take at most {most_ms:d} ms on average')
+def step_refusal_delay(context, most_ms):
     kinds = context.result.kinds.values()
-    held_ms = sum(found.held_ms for found in kinds)
-    refusals = sum(found.refusals for found in kinds)
-    assert held_ms <= most_ms * refusals, (held_ms, refusals)
+    refusal_delay_ms = sum(result.refusal_delay_ms for result in kinds)
+    refusals = sum(result.refusals for result in kinds)
+    assert refusal_delay_ms <= most_ms * refusals, (refusal_delay_ms, refusals)
 
 
 @given('a load pattern with a rate of 0')
-def step_malformed(context):
+def step_invalid_rate(context):
     text = (LOADS / 'burst.yaml').read_text()
-    folder = tempfile.TemporaryDirectory()
-    context.cleanups.append(folder.cleanup)
-    context.path = pathlib.Path(folder.name) / 'bad.yaml'
+    directory = tempfile.TemporaryDirectory()
+    context.cleanups.append(directory.cleanup)
+    context.path = pathlib.Path(directory.name) / 'bad.yaml'
     context.path.write_text(text.replace('rate_per_s: 560', 'rate_per_s: 0'))
 
 
-@when('2 seeds of it are compared')
-def step_compare(context):
+@when('an experiment runs it with 2 seeds')
+def step_run_experiment(context):
     path = getattr(context, 'path', None)
     if path is None:
-        folder = tempfile.TemporaryDirectory()
-        context.cleanups.append(folder.cleanup)
-        path = pathlib.Path(folder.name) / 'load.yaml'
+        directory = tempfile.TemporaryDirectory()
+        context.cleanups.append(directory.cleanup)
+        path = pathlib.Path(directory.name) / 'load.yaml'
         path.write_text(yaml.safe_dump(msgspec.to_builtins(context.load)))
     context.error = None
     try:
@@ -89,7 +87,7 @@
         context.error = error
 
 
-@then('there is a row for "{kind}" with its shares, which add up to 1')
+@then('the row for "{kind}" has shares that add up to 1')
 def step_row(context, kind):
     (row,) = context.rows
     assert row.callers == kind, row
@@ -109,13 +107,13 @@
 
 
 @then('it is refused with code {code:d} and names "{key}"')
-def step_names(context, code, key):
+def step_error_names_key(context, code, key):
     assert context.error is not None
     assert int(context.error.code) == code, context.error
     assert key in str(context.error), context.error
 
 
 @then('at most {most:g} calls between hosts are sent for each try')
-def step_calls(context, most):
-    found = context.result.calls_per_try
-    assert 0 < found <= most, found
+def step_calls_per_attempt(context, most):
+    result = context.result.calls_per_attempt
+    assert 0 < result <= most, result
--- a/sedgering/model/__init__.py
+++ b/sedgering/model/__init__.py
@@ -1,8 +1,9 @@
-"""Load patterns played against the real request path, on a virtual clock.
+"""Simulates load patterns against the real request path.
 
-Gate, choice, retries and what callers are told are the daemon's own code.
-Targets, callers and the way between hosts are small models; there are no
-sockets, no store and no threads, so a seed gives the same figures each time.
+Admission control, target choice, retries and responses to callers are the
+daemon's own code. Targets, callers and the network between hosts are simple
+models. There are no sockets, no store and no threads, and time is simulated,
+so that the same seed gives the same result.
 """
 
 from sedgering.model._clock import make_virtual_runner
--- a/sedgering/model/_hosts.py
+++ b/sedgering/model/_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of the model: the daemon's own decisions without its sockets."""
+"""Simulated hosts that run the daemon's decisions without its sockets."""
 
 import asyncio
 import random
@@ -23,38 +23,44 @@
 from sedgering.model import _targets
 from sedgering import transport
 
-__all__ = ['ModelHost', 'ModelTargetClient', 'NAMES', 'WorkBook']
+__all__ = ['HEADER_NAMES', 'ModelHost', 'ModelTargetClient', 'WorkByRequest']
 
 ADDRESS = '10.0.0.1'
-#: Ports are never opened.
+#: Placeholder, as no port is opened.
 PORT = 1
-NAMES = mesh.HeaderNames(
+HEADER_NAMES = mesh.HeaderNames(
     'id', 'deadline', 'proof', 'expect', 'origin', 'not-run', 'target', 'load'
 )
 MESH_NAME = 'model'
 
-#: Work of each request under way, by its id.
-WorkBook = dict[str, _targets.Work]
+#: Work of each request in progress, by request ID.
+WorkByRequest = dict[str, _targets.Work]
 
 
 class _ModelConnection:
-    """Stands for a connection to a model target."""
+    """Placeholder for a connection to a simulated target."""
 
     def close(self) -> None:
-        """Do nothing: the target ends what is under way itself."""
+        """Do nothing, as the target aborts its requests itself."""
 
 
 class ModelTargetClient(_target_client.TargetClient):
-    """Runs calls at a model target in place of a socket."""
+    """Runs calls at a simulated target instead of over a socket."""
 
     def __init__(
-        self, mesh_settings, link, link_reservations, gate, target, work_book
+        self,
+        mesh_settings,
+        link,
+        link_reservations,
+        gate,
+        target,
+        work_by_request,
     ):
         addresses = mesh.Addresses(
             ADDRESS, PORT, PORT, PORT, PORT, ADDRESS, PORT
         )
         super().__init__(
-            NAMES,
+            HEADER_NAMES,
             addresses,
             mesh_settings,
             mesh.LocalTarget(),
@@ -64,7 +70,7 @@
             _answer_admission.AnswerAdmission(None, gate.now_s),
         )
         self.model_target: _targets.ModelTarget = target
-        self.work_book: WorkBook = work_book
+        self.work_by_request: WorkByRequest = work_by_request
 
     async def is_listening(self):
         return self.model_target.is_up
@@ -75,14 +81,14 @@
         connection = _ModelConnection()
         self._in_flight[connection] = sent
         try:
-            return await self._run_model(call, ticket)
+            return await self._run_at_model_target(call, ticket)
         except _targets.TargetDown:
             self._handle_crash(lifetime)
             return mesh.CallAnswer(
                 mesh.CallOutcome.NOT_RUN,
                 reason=mesh.RefusalReason.TARGET_UNKNOWN,
             )
-        except _targets.TargetEnded:
+        except _targets.TargetCrashed:
             await self._check_lost_call(sent)
             return mesh.CallAnswer(
                 mesh.CallOutcome.UNKNOWN,
@@ -93,11 +99,11 @@
         finally:
             del self._in_flight[connection]
 
-    async def _run_model(self, call, ticket):
-        work = self.work_book[call.request_id]
-        left_s = ticket.deadline_s - self.gate.now_s()
+    async def _run_at_model_target(self, call, ticket):
+        work = self.work_by_request[call.request_id]
+        remaining_s = ticket.deadline_s - self.gate.now_s()
         try:
-            async with asyncio.timeout(max(0.0, left_s)):
+            async with asyncio.timeout(max(0.0, remaining_s)):
                 answer = await self.model_target.run(work, ticket.deadline_s)
         except TimeoutError:
             return mesh.CallAnswer(
@@ -110,7 +116,7 @@
 
 
 class _ModelSender(_sender.CallSender):
-    """Sends calls to other hosts of the model after the time of the way."""
+    """Sends calls to other simulated hosts with network latency."""
 
     def __init__(self, identity, target_client, peers, target_clients, load):
         super().__init__(identity, target_client, peers)
@@ -118,26 +124,26 @@
             target_clients
         )
         self.load: _loads.Load = load
-        self.sent = _results.SentCalls()
+        self.call_stats = _results.CallStats()
 
     async def send(self, peer, call, progress):
         answer = await super().send(peer, call, progress)
         is_far = peer.row.data_centre != self.identity.data_centre
         size_bytes = len(answer.response.body) if answer.response else 0
-        self.sent.note_answer(is_far, size_bytes)
+        self.call_stats.record_answer(is_far, size_bytes)
         return answer
 
     async def _ask(self, peer, call, _progress):
-        self.sent.calls += 1
+        self.call_stats.calls += 1
         is_far = peer.row.data_centre != self.identity.data_centre
         hop_ms = self.load.far_hop_ms if is_far else self.load.hop_ms
         hop_s = hop_ms / 1000
         await asyncio.sleep(hop_s)
-        lag_ms = int(hop_ms)
+        elapsed_ms = int(hop_ms)
         arrived = msgspec.structs.replace(
             call,
-            remaining_ms=max(0, call.remaining_ms - lag_ms),
-            goal_ms=max(0, call.goal_ms - lag_ms),
+            remaining_ms=max(0, call.remaining_ms - elapsed_ms),
+            goal_ms=max(0, call.goal_ms - elapsed_ms),
         )
         answer = await self.target_clients[peer.row.host].run(arrived)
         await asyncio.sleep(hop_s)
@@ -146,22 +152,22 @@
 
 
 class ModelHost:
-    """A host: its target, its gate, and the decisions for its callers.
+    """A simulated host with its target and the daemon's request path.
 
     Parameters
     ----------
     row : MemberRow
-        Its host and target.
+        Membership row of the host and its target.
     target : ModelTarget
-        Beside it.
+        Local target of the host.
     mesh_settings : MeshSettings
-        Of the daemon.
+        Settings of the daemon.
     budget : RetryWindow
-        Its share of retries.
-    work_book : dict of str to Work
-        Shared by all hosts.
+        Retry budget of the daemon.
+    work_by_request : dict of str to Work
+        Work of each request in progress, by request ID; shared by all hosts.
     seed : int
-        Of its choices.
+        Seed of the daemon's random choices.
     """
 
     def __init__(
@@ -170,7 +176,7 @@
         target: _targets.ModelTarget,
         mesh_settings: mesh.MeshSettings,
         budget: mesh.RetryWindow,
-        work_book: WorkBook,
+        work_by_request: WorkByRequest,
         seed: int,
     ):
         now_s = asyncio.get_running_loop().time
@@ -183,11 +189,11 @@
             _link_reservations.LinkReservations(0, now_s),
             _gate.Gate(mesh_settings, now_s),
             target,
-            work_book,
+            work_by_request,
         )
         self.state = _state.RequestState(
             identity,
-            NAMES,
+            HEADER_NAMES,
             mesh_settings,
             _config.ConfigHolder(MESH_NAME),
             mesh.FleetTable(),
@@ -198,9 +204,19 @@
             random.Random(seed),
         )
 
-    def join(self, hosts: dict[base.HostId, 'ModelHost'], load: _loads.Load):
-        """Learn of all hosts, and report the own target as ready."""
-        self.take_rows({name: host.row for name, host in hosts.items()})
+    def join_fleet(
+        self, hosts: dict[base.HostId, 'ModelHost'], load: _loads.Load
+    ):
+        """Connect to all hosts, and report the local target as ready.
+
+        Parameters
+        ----------
+        hosts : dict of HostId to ModelHost
+            All hosts, including this one.
+        load : Load
+            Load pattern with the network latencies.
+        """
+        self.update_rows({name: host.row for name, host in hosts.items()})
         self.state.start.end()
         self.state.sender = _ModelSender(
             self.state.identity,
@@ -212,7 +228,7 @@
         self.report()
 
     def report(self) -> None:
-        """Report the own target as ready."""
+        """Report the local target as ready."""
         report = mesh.TargetReport(
             self.row.target,
             self.row.target_set,
@@ -227,10 +243,10 @@
         self.target_client.handle_new_lifetime()
         self.target_client.refresh_gate()
 
-    def renew(self) -> None:
-        """Start another lifetime of the target, and report it."""
+    def restart_target(self) -> None:
+        """Start a new lifetime of the target, and report it as ready."""
         self.target.start()
-        name = f'{self.row.host}-{self.target.ends}'
+        name = f'{self.row.host}-{self.target.crash_count}'
         self.row = msgspec.structs.replace(
             self.row,
             target=base.TargetName(name),
@@ -239,46 +255,46 @@
         )
         self.report()
 
-    def note_down(self) -> None:
-        """Show in the row that the target has ended."""
+    def mark_target_down(self) -> None:
+        """Record in the row that the target is down, and its crashes."""
         self.row = msgspec.structs.replace(
             self.row,
             state=mesh.TargetState.DOWN,
             crashes=self.target_client.watch.records,
         )
 
-    def take_rows(self, rows: dict[base.HostId, mesh.MemberRow]) -> None:
-        """Take over the rows of all hosts, as the store has them."""
+    def update_rows(self, rows: dict[base.HostId, mesh.MemberRow]) -> None:
+        """Apply the membership rows of all hosts, as read from the store."""
         for row in rows.values():
             self.state.crashes.add_row(row)
         self.state.fleet.replace(rows)
 
-    async def ask(
+    async def send_request(
         self,
         path: str,
         request_id: str,
         deadline_ms: int,
         workspace: str,
     ) -> transport.Response:
-        """Send a request of this host, and wait for its answer.
+        """Send a request from this host, and wait for the response.
 
         Parameters
         ----------
         path, request_id : str
-            Of the request.
+            Path and ID of the request.
         deadline_ms : int
-            Time for which its sender waits.
+            Time for which the caller waits, in milliseconds.
         workspace : str
-            That asks; empty for none.
+            Workspace of the caller; empty for none.
         """
         headers = [
             ('Host', MESH_NAME),
-            (NAMES.request_id, request_id),
-            (NAMES.deadline_ms, str(deadline_ms)),
+            (HEADER_NAMES.request_id, request_id),
+            (HEADER_NAMES.deadline_ms, str(deadline_ms)),
         ]
         if workspace:
             headers.append(
-                ('Authorization', f'{NAMES.key_scheme} {workspace}')
+                ('Authorization', f'{HEADER_NAMES.key_scheme} {workspace}')
             )
         now_s = asyncio.get_running_loop().time()
         request = transport.Request('GET', path, headers, received_s=now_s)
--- a/sedgering/model/_loads.py
+++ b/sedgering/model/_loads.py
@@ -1,4 +1,4 @@
-"""Load patterns: who calls, what stands behind, and what happens when."""
+"""Load patterns: callers, targets, and scheduled events."""
 
 import enum
 import pathlib
@@ -26,16 +26,16 @@
 
 
 class Noise(settings.SettingsStruct):
-    """How much longer work takes on hosts that others use, too.
+    """Slowdown of targets by noisy neighbours on shared hosts.
 
     Parameters
     ----------
     share : float
-        Share of the targets that are slow at any moment.
+        Probability that a target is slowed down during an interval.
     factor : float
-        Work takes that many times as long there.
+        Factor by which processing times grow at a slow target.
     every_ms : float
-        Time after which others are slow.
+        Interval after which slow targets are drawn again, in milliseconds.
     """
 
     share: Share = 0.15
@@ -44,16 +44,16 @@
 
 
 class DataCentre(settings.SettingsStruct):
-    """A data centre; targets of a set are spread over them by turns.
+    """A data centre; targets of a set are spread over them round-robin.
 
     Parameters
     ----------
     name : str
-        Of the data centre.
+        Name of the data centre.
     demand : float
-        What its callers ask, beside the others.
+        Demand of its callers, relative to the other data centres.
     phase : float
-        Of its wave, in periods.
+        Phase offset of its demand wave, in periods.
     """
 
     name: settings.Name
@@ -62,14 +62,14 @@
 
 
 class Wave(settings.SettingsStruct):
-    """How the demand of each data centre swings.
+    """Sine wave of the demand of each data centre.
 
     Parameters
     ----------
     swing : float
-        Highest demand over the mean, less 1.
+        Amplitude of the wave, relative to the mean demand.
     period_s : float
-        From one highest demand to the next.
+        Period of the wave, in seconds.
     """
 
     swing: Share = 0.55
@@ -84,13 +84,13 @@
     target_set : str
         Name of the set.
     speeds : list of float
-        One entry a target; work takes its time divided by the speed.
+        Speed of each target; it divides the processing time of a request.
     slots, queue : int
-        Requests that a target works on at a time, and that wait there.
+        Requests that a target processes concurrently, and that it queues.
     noise : Noise or None
-        Of their hosts.
+        Slowdown by noisy neighbours; none by default.
     tells_slowness : bool
-        Whether they tell with each answer how long work takes now.
+        Whether targets report their current slowness with each answer.
     """
 
     target_set: settings.Name
@@ -102,24 +102,24 @@
 
 
 class NestedCalls(settings.SettingsStruct):
-    """Calls that a target makes while it works on a request.
+    """Calls that a target makes while it processes a request.
 
     Parameters
     ----------
     target_set : str
-        That is called.
+        Target set that is called.
     count : int
-        Calls of one request.
+        Number of calls per request.
     share : float
-        Share of the requests that make them.
+        Share of the requests that make nested calls.
     is_parallel : bool
-        Whether they are made at the same time.
+        Whether the calls of a request are made in parallel.
     work_ms : float
-        Mean work of one call.
+        Mean processing time of a call, in milliseconds.
     deadline_ms : int
-        Time for which the target waits.
+        Time for which the calling target waits, in milliseconds.
     answer_bytes : int
-        Size of each answer.
+        Size of each response body in bytes.
     """
 
     target_set: settings.Name
@@ -137,37 +137,39 @@
     Parameters
     ----------
     name, target_set : str
-        Of the route, and where it leads.
+        Name of the route, and the target set that it leads to.
     rate_per_s : float
-        First tries a second over all hosts.
+        Arrival rate of callers over all hosts, per second, without retries.
     work_ms, work_spread : float
-        Mean of the work, and the deviation of its logarithm.
+        Mean processing time in milliseconds, and the standard deviation of
+        its logarithm.
     goal_ms, deadline_ms, timeout_ms : int
-        Latency goal, time for which callers wait, timeout of the route.
+        Latency goal, time for which callers wait, and timeout of the route,
+        in milliseconds.
     worth, late_worth : float
-        Of an answer within the goal, and of a later one.
+        Worth of an answer within the latency goal, and of a later one.
     priority : int
-        0 is served first.
+        Priority of the route; 0 is the highest.
     retries : int
-        Most retries of one caller.
+        Maximum number of retries of one caller.
     is_repeatable : bool
-        Whether a request may run twice.
+        Whether a request is idempotent and may be run again.
     nested : NestedCalls or None
-        What its targets call meanwhile.
+        Calls that a target makes while it processes a request.
     from_s : float
-        When its callers begin.
+        Time at which callers begin to arrive, in seconds.
     is_same : bool
-        Whether all of them ask the very same request.
+        Whether all callers send an identical request.
     is_fatal : bool
-        Whether each target that begins such a request ends.
+        Whether a request crashes each target that processes it.
     workspace : str
-        That all of them belong to; empty for none.
+        Workspace of all callers; empty for none.
     workspace_priority : int
-        Its rank, before `priority`.
+        Priority of the workspace, which is compared before `priority`.
     hasty_share : float
-        Share of them that come back at once, whatever they are told.
+        Share of the callers that ignore Retry-After and retry almost at once.
     answer_bytes : int
-        Size of each answer.
+        Size of each response body in bytes.
     """
 
     name: settings.Name
@@ -194,37 +196,38 @@
 
 
 class EventKind(enum.Enum):
-    """What happens to a load or its targets."""
+    """Kinds of events that change the arrival rates or the targets."""
 
-    #: Rates are multiplied by `factor`.
+    #: Arrival rates are multiplied by `factor`.
     BURST = 'burst'
-    #: Work at a share of a set's targets takes `factor` times as long.
+    #: Some targets of a set take `factor` times as long for each request.
     SLOW = 'slow'
-    #: A share of a set's targets refuses `factor` of its requests.
+    #: Some targets of a set refuse the share `factor` of their requests.
     SHED = 'shed'
-    #: Some of a set's targets end, and are back when it is over.
+    #: Some targets of a set crash. They restart at the end of the event, or
+    #: earlier after `Load.back_after_s`.
     END = 'end'
 
 
 class Event(settings.SettingsStruct):
-    """Something that happens for a while.
+    """A temporary change of the arrival rates or of some targets.
 
     Parameters
     ----------
     kind : EventKind
-        What.
+        Kind of the change.
     at_s, for_s : float
-        When, and for how long.
+        Start and duration, in seconds.
     factor : float
-        How strongly.
+        Strength of the change, as defined by the kind.
     callers : str
-        Name of the kind that a burst is of; empty for all of them.
+        Kind of callers that a burst affects; empty for all kinds.
     target_set : str
-        To whose targets; unused for a burst.
+        Target set that is affected; unused by a burst.
     targets : int
-        To how many of them.
+        Number of affected targets of the set.
     skipped : int
-        How many are left out before the first one.
+        Number of targets of the set that precede the first affected one.
     """
 
     kind: EventKind
@@ -238,28 +241,29 @@
 
 
 class Load(settings.SettingsStruct):
-    """One load pattern.
+    """A load pattern.
 
     Parameters
     ----------
     name, pattern : str
-        Of the load, and what it stands for.
+        Name and description of the load pattern.
     length_s : float
-        Time for which callers arrive.
+        Time during which callers arrive, in seconds.
     targets : list of TargetGroup
-        All targets; each has a host with callers and a daemon.
+        All targets; each runs on a host of its own with callers and a daemon.
     callers : list of CallerKind
         All kinds of callers.
     events : list of Event
-        What happens meanwhile.
+        Scheduled events.
     hop_ms, far_hop_ms : float
-        Way between two hosts, and between two data centres.
+        One-way network latency between two hosts of one data centre, and of
+        two data centres, in milliseconds.
     data_centres : list of DataCentre
-        Where hosts stand; a single one where the list is empty.
+        Data centres of the hosts; if empty, there is a single one.
     wave : Wave or None
-        Of the demand.
+        Variation of the demand over time; constant by default.
     back_after_s : float
-        Time until a target is back that has ended under a request.
+        Time from the crash of a target to its restart, in seconds.
     """
 
     name: settings.Name
@@ -281,6 +285,6 @@
     Raises
     ------
     SettingsError
-        When it is malformed.
+        If the file cannot be read or its content is invalid.
     """
     return settings.load_settings(path, Load)
--- a/sedgering/model/_play.py
+++ b/sedgering/model/_play.py
@@ -1,4 +1,4 @@
-"""Plays a load pattern against hosts that run the daemon's decisions."""
+"""Simulates a load pattern on hosts that run the daemon's decisions."""
 
 import asyncio
 from collections.abc import Iterable
@@ -19,24 +19,27 @@
 
 __all__ = ['play']
 
-#: Share of a caller's time left for which it waits at most when it is told
-#: when to come back.
-LONGEST_WAIT_SHARE = 1 / 3
-#: After which a caller is back that honours nothing it is told.
-HASTY_PAUSE_S = 0.02
-NESTED_SPREAD = 0.5
-SUCCESS = 200
-REFUSED = 503
-TICK_S = 0.02
-#: Data centre of hosts where a load names none.
-ONLY_PLACE = 'hall'
-#: Retries that the whole fleet may add: a share of the requests, and some.
+#: Upper limit of the delay before a retry, as a share of the time that the
+#: caller has left; a longer Retry-After is cut to it.
+MAX_RETRY_DELAY_SHARE = 1 / 3
+#: Delay before a retry of a caller that ignores Retry-After.
+HASTY_RETRY_DELAY_S = 0.02
+#: Standard deviation of the logarithm of the processing time of nested calls.
+NESTED_WORK_SPREAD = 0.5
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
+#: Interval at which arrivals are drawn.
+ARRIVAL_INTERVAL_S = 0.02
+#: Data centre of all hosts if the load pattern defines none.
+DEFAULT_DATA_CENTRE = 'hall'
+#: Retry budget of the whole fleet: retries per request, and a fixed allowance
+#: per window.
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 60
 RETRY_WINDOW_S = 10.0
-#: Time until all daemons know of a change of a row: the store, the longest
-#: pause of a relay, and its answer.
-ROW_DELAY_S = 0.7
+#: Time until all daemons have received a changed row: the write to the store,
+#: the longest delay at a relay, and its answer.
+ROW_PROPAGATION_S = 0.7
 
 
 def play(
@@ -44,23 +47,28 @@
     seed: int,
     mesh_settings: mesh.MeshSettings | None = None,
 ) -> _results.LoadResult:
-    """Play a load pattern once.
+    """Simulate a load pattern once.
 
     Parameters
     ----------
     load : Load
-        Pattern.
+        Load pattern.
     seed : int
-        The same seed gives the same result.
+        Random seed; the same seed gives the same result.
     mesh_settings : MeshSettings or None
-        Of all daemons; the defaults where it is left out.
+        Settings of all daemons; the default settings if None.
+
+    Returns
+    -------
+    LoadResult
+        Results of all callers.
     """
     settings = mesh_settings or mesh.MeshSettings()
-    return _clock.run_virtual(_Player(load, seed, settings).run())
+    return _clock.run_virtual(_Simulation(load, seed, settings).run())
 
 
-class _Player:
-    """One play of a load."""
+class _Simulation:
+    """State of one simulation of a load pattern."""
 
     def __init__(self, load, seed, mesh_settings):
         self.load: _loads.Load = load
@@ -68,34 +76,36 @@
         self.rng = random.Random(seed)
         self.seed = seed
         self.hosts: dict[base.HostId, _hosts.ModelHost] = {}
-        self.ids = itertools.count()
+        self.request_ids = itertools.count()
         self.results = {
             kind.name: _results.KindResult() for kind in load.callers
         }
-        self.work_book: _hosts.WorkBook = {}
+        self.work_by_request: _hosts.WorkByRequest = {}
         self.tasks: set[asyncio.Task] = set()
-        #: Of the rates of each kind.
-        self.factors = {kind.name: 1.0 for kind in load.callers}
+        #: Current factor of the arrival rate of each kind of callers.
+        self.rate_factors = {kind.name: 1.0 for kind in load.callers}
 
     async def run(self) -> _results.LoadResult:
-        """Play, and wait for the last caller."""
+        """Run the simulation until the last caller has finished."""
         loop = asyncio.get_running_loop()
         self._make_hosts()
         for event in self.load.events:
-            begin, end = self._start_event, self._start_event
+            begin, end = self._apply_event, self._apply_event
             if event.kind is _loads.EventKind.END:
-                begin, end = self._end_targets, self._bring_all_back
+                begin, end = self._crash_targets, self._restart_targets
             loop.call_at(event.at_s, begin, event, event.factor)
             loop.call_at(event.at_s + event.for_s, end, event, 1)
         while loop.time() < self.load.length_s:
-            await asyncio.sleep(TICK_S)
-            self._let_arrive()
+            await asyncio.sleep(ARRIVAL_INTERVAL_S)
+            self._add_arrivals()
         await asyncio.gather(*self.tasks)
-        ends = sum(host.target.ends for host in self.hosts.values())
-        sent = _results.SentCalls()
+        crashes = sum(host.target.crash_count for host in self.hosts.values())
+        call_stats = _results.CallStats()
         for host in self.hosts.values():
-            sent.add(host.state.sender.sent)
-        return _results.LoadResult(self.load, self.results, ends, sent)
+            call_stats.add(host.state.sender.call_stats)
+        return _results.LoadResult(
+            self.load, self.results, crashes, call_stats
+        )
 
     # Hosts and targets.
 
@@ -107,16 +117,18 @@
             for number, speed in enumerate(group.speeds):
                 self._make_host(group, number, speed)
         for host in self.hosts.values():
-            host.join(self.hosts, self.load)
+            host.join_fleet(self.hosts, self.load)
             host.state.config.apply(config)
             host.state.budget.daemons = len(self.hosts)
 
     def _make_host(self, group, number: int, speed: float) -> None:
         name = base.HostId(f'{group.target_set}-{number}')
-        places = self.load.data_centres or [_loads.DataCentre(ONLY_PLACE)]
+        data_centres = self.load.data_centres or [
+            _loads.DataCentre(DEFAULT_DATA_CENTRE)
+        ]
         row = mesh.MemberRow(
             name,
-            base.DataCentre(places[number % len(places)].name),
+            base.DataCentre(data_centres[number % len(data_centres)].name),
             _hosts.ADDRESS,
             len(self.hosts) + 1,
             base.TargetSetName(group.target_set),
@@ -131,55 +143,59 @@
             RETRY_RATIO * share, RETRY_EXTRA * share, RETRY_WINDOW_S
         )
         host = _hosts.ModelHost(
-            row, target, self.mesh_settings, budget, self.work_book, seed
+            row, target, self.mesh_settings, budget, self.work_by_request, seed
         )
         self.hosts[name] = host
         if group.noise is not None:
-            self._change_noise(host)
+            self._redraw_noise(host)
 
-        async def call(nested, work_ms, deadline_s):
+        async def call_nested(nested, work_ms, deadline_s):
             return await self._call_nested(host, nested, work_ms, deadline_s)
 
-        target.call = call
-        target.on_end = lambda: self._plan_return(host)
-        host.target_client.watch.on_crash = lambda record: self._tell_end(
-            host, record
+        target.call_nested = call_nested
+        target.schedule_restart = lambda: self._schedule_restart(host)
+        host.target_client.watch.on_crash = lambda record: (
+            self._announce_crash(host, record)
         )
 
-    def _change_noise(self, host: _hosts.ModelHost) -> None:
+    def _redraw_noise(self, host: _hosts.ModelHost) -> None:
         target = host.target
-        target.change_noise()
-        every_s = target.group.noise.every_ms / 1000
+        target.draw_noise()
+        interval_s = target.group.noise.every_ms / 1000
         loop = asyncio.get_running_loop()
-        loop.call_later(every_s, self._change_noise, host)
+        loop.call_later(interval_s, self._redraw_noise, host)
 
-    def _plan_return(self, host: _hosts.ModelHost) -> None:
+    def _schedule_restart(self, host: _hosts.ModelHost) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(self.load.back_after_s, self._bring_back, host)
+        loop.call_later(self.load.back_after_s, self._restart_target, host)
 
-    def _bring_back(self, host: _hosts.ModelHost) -> None:
+    def _restart_target(self, host: _hosts.ModelHost) -> None:
         if not host.target.is_up:
-            host.renew()
-            self._publish()
+            host.restart_target()
+            self._schedule_row_update()
 
-    def _tell_end(self, host, record: mesh.CrashRecord) -> None:
-        """Tell the daemons beside the set at once, and all by the row."""
-        host.note_down()
-        self._publish()
+    def _announce_crash(self, host, record: mesh.CrashRecord) -> None:
+        """Announce a crash to all daemons.
+
+        The daemons of the same target set receive the record after one hop.
+        All daemons receive it with the next update of the membership rows.
+        """
+        host.mark_target_down()
+        self._schedule_row_update()
         loop = asyncio.get_running_loop()
         for other in self.hosts.values():
             if other.row.target_set == host.row.target_set:
                 add = other.state.crashes.add_record
                 loop.call_later(self.load.hop_ms / 1000, add, record)
 
-    def _publish(self) -> None:
+    def _schedule_row_update(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(ROW_DELAY_S, self._show_rows)
+        loop.call_later(ROW_PROPAGATION_S, self._update_rows)
 
-    def _show_rows(self) -> None:
+    def _update_rows(self) -> None:
         rows = {name: host.row for name, host in self.hosts.items()}
         for host in self.hosts.values():
-            host.take_rows(rows)
+            host.update_rows(rows)
 
     def _make_bundle(self) -> bundles.Bundle:
         policies = []
@@ -203,10 +219,10 @@
                 )
             )
         for name, item in nested.items():
-            routes.append(_make_route(_nested_name(name), name, True))
+            routes.append(_make_route(_make_nested_name(name), name, True))
             policies.append(
                 bundles.Policy(
-                    base.PolicyName(_nested_name(name)),
+                    base.PolicyName(_make_nested_name(name)),
                     timeout_ms=item.deadline_ms,
                     attempts=2,
                     latency_goal_ms=item.deadline_ms // 3,
@@ -229,146 +245,175 @@
             _make_workspaces(self.load.callers),
         )
 
-    # What happens.
+    # Events.
 
-    def _start_event(self, event: _loads.Event, factor: float) -> None:
+    def _apply_event(self, event: _loads.Event, factor: float) -> None:
+        """Apply the factor of an event; the factor 1 reverts the event."""
         if event.kind is _loads.EventKind.BURST:
-            for name in self.factors:
+            for name in self.rate_factors:
                 if event.callers in ('', name):
-                    self.factors[name] = factor
+                    self.rate_factors[name] = factor
             return
-        for target in [host.target for host in self._list_hit(event)]:
+        for target in [
+            host.target for host in self._list_affected_hosts(event)
+        ]:
             if event.kind is _loads.EventKind.SLOW:
                 target.slowness = factor
             else:
                 target.shed_share = 0.0 if factor == 1 else factor
 
-    def _list_hit(self, event: _loads.Event) -> list[_hosts.ModelHost]:
-        found = [
+    def _list_affected_hosts(
+        self, event: _loads.Event
+    ) -> list[_hosts.ModelHost]:
+        hosts = [
             host
             for host in self.hosts.values()
             if host.row.target_set == event.target_set
         ]
-        return found[event.skipped : event.skipped + event.targets]
+        return hosts[event.skipped : event.skipped + event.targets]
 
-    def _end_targets(self, event: _loads.Event, _factor: float) -> None:
-        for host in self._list_hit(event):
-            host.target.end()
+    def _crash_targets(self, event: _loads.Event, _factor: float) -> None:
+        for host in self._list_affected_hosts(event):
+            host.target.crash()
 
-    def _bring_all_back(self, event: _loads.Event, _factor: float) -> None:
-        for host in self._list_hit(event):
-            self._bring_back(host)
+    def _restart_targets(self, event: _loads.Event, _factor: float) -> None:
+        for host in self._list_affected_hosts(event):
+            self._restart_target(host)
 
     # Callers.
 
-    def _let_arrive(self) -> None:
-        for place in self.load.data_centres:
+    def _add_arrivals(self) -> None:
+        for data_centre in self.load.data_centres:
             hosts = [
                 host
                 for host in self.hosts.values()
-                if host.row.data_centre == place.name
+                if host.row.data_centre == data_centre.name
             ]
-            self._let_arrive_at(hosts, self._find_demand(place))
+            self._add_arrivals_at(hosts, self._compute_demand(data_centre))
         if not self.load.data_centres:
-            self._let_arrive_at(list(self.hosts.values()), 1.0)
+            self._add_arrivals_at(list(self.hosts.values()), 1.0)
+
+    def _compute_demand(self, data_centre: _loads.DataCentre) -> float:
+        """Return the demand of a data centre, as a share of the total mean.
 
-    def _find_demand(self, place: _loads.DataCentre) -> float:
-        """Return the share of all demand that a data centre has now."""
+        The total mean is the demand of all data centres without the wave.
+        """
         total = sum(other.demand for other in self.load.data_centres)
-        share = place.demand / total
+        share = data_centre.demand / total
         wave = self.load.wave
         if wave is None:
             return share
         now_s = asyncio.get_running_loop().time()
-        turns = now_s / wave.period_s + place.phase
-        return share * (1 + wave.swing * math.sin(2 * math.pi * turns))
+        periods = now_s / wave.period_s + data_centre.phase
+        return share * (1 + wave.swing * math.sin(2 * math.pi * periods))
 
-    def _let_arrive_at(self, hosts, share: float) -> None:
+    def _add_arrivals_at(self, hosts, share: float) -> None:
         loop = asyncio.get_running_loop()
         for kind in self.load.callers:
             if loop.time() < kind.from_s:
                 continue
-            mean = kind.rate_per_s * self.factors[kind.name] * TICK_S * share
+            mean = (
+                kind.rate_per_s
+                * self.rate_factors[kind.name]
+                * ARRIVAL_INTERVAL_S
+                * share
+            )
             for _ in range(_draw_poisson(self.rng, mean)):
                 host = self.rng.choice(hosts)
-                delay_s = self.rng.random() * TICK_S
+                delay_s = self.rng.random() * ARRIVAL_INTERVAL_S
                 work = _draw_work(self.rng, kind)
-                task = loop.create_task(self._call(kind, host, work, delay_s))
+                task = loop.create_task(
+                    self._run_caller(kind, host, work, delay_s)
+                )
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    async def _call(self, kind, host, work, delay_s: float) -> None:
-        """Be one caller, from the first try to the last."""
+    async def _run_caller(self, kind, host, work, delay_s: float) -> None:
+        """Simulate one caller, from its first attempt to its last."""
         await asyncio.sleep(delay_s)
         loop = asyncio.get_running_loop()
-        found = self.results[kind.name]
-        found.asked += 1
-        first_s = loop.time()
-        end_s = first_s + kind.deadline_ms / 1000
+        result = self.results[kind.name]
+        result.asked += 1
+        arrived_s = loop.time()
+        deadline_s = arrived_s + kind.deadline_ms / 1000
         path = f'/{kind.name}/'
         if not kind.is_same:
-            path += f'{next(self.ids)}'
+            path += f'{next(self.request_ids)}'
         is_hasty = work.is_hasty
-        for number in range(kind.retries + 1):
-            status, pause_s = await self._try(kind, host, path, work, end_s)
+        for attempt in range(kind.retries + 1):
+            status, retry_delay_s = await self._send_attempt(
+                kind, host, path, work, deadline_s
+            )
             if is_hasty:
-                pause_s = HASTY_PAUSE_S
+                retry_delay_s = HASTY_RETRY_DELAY_S
             now_s = loop.time()
-            if status == SUCCESS:
-                if (now_s - first_s) * 1000 <= kind.goal_ms:
-                    found.in_goal += 1
+            if status == STATUS_OK:
+                if (now_s - arrived_s) * 1000 <= kind.goal_ms:
+                    result.in_goal += 1
                 else:
-                    found.late += 1
+                    result.late += 1
                 return
-            may_retry = status == REFUSED or kind.is_repeatable
-            pause_s = min(pause_s, (end_s - now_s) * LONGEST_WAIT_SHARE)
-            if number == kind.retries or not may_retry or now_s >= end_s:
+            may_retry = status == STATUS_UNAVAILABLE or kind.is_repeatable
+            retry_delay_s = min(
+                retry_delay_s, (deadline_s - now_s) * MAX_RETRY_DELAY_SHARE
+            )
+            if attempt == kind.retries or not may_retry or now_s >= deadline_s:
                 break
-            await asyncio.sleep(max(0.0, pause_s))
-        found.refused_again += number > 0
-        if status == REFUSED:
-            found.refused += 1
+            await asyncio.sleep(max(0.0, retry_delay_s))
+        result.failed_after_retry += attempt > 0
+        if status == STATUS_UNAVAILABLE:
+            result.refused += 1
         else:
-            found.failed += 1
+            result.failed += 1
 
-    async def _try(self, kind, host, path, work, end_s) -> tuple[int, float]:
+    async def _send_attempt(
+        self, kind, host, path, work, deadline_s
+    ) -> tuple[int, float]:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        left_ms = max(1, int((end_s - started_s) * 1000))
-        response = await self._ask(host, path, work, left_ms, kind.workspace)
-        if response.status == REFUSED:
-            found = self.results[kind.name]
-            found.refusals += 1
-            found.note_hold(kind, (loop.time() - started_s) * 1000)
-        told = dict(response.headers).get('Retry-After', '0')
-        return response.status, float(told)
-
-    async def _ask(
-        self, host, path, work, left_ms, workspace=base.NO_WORKSPACE
+        remaining_ms = max(1, int((deadline_s - started_s) * 1000))
+        response = await self._send_request(
+            host, path, work, remaining_ms, kind.workspace
+        )
+        if response.status == STATUS_UNAVAILABLE:
+            result = self.results[kind.name]
+            result.refusals += 1
+            result.record_refusal_delay(kind, (loop.time() - started_s) * 1000)
+        retry_after_s = dict(response.headers).get('Retry-After', '0')
+        return response.status, float(retry_after_s)
+
+    async def _send_request(
+        self, host, path, work, remaining_ms, workspace=base.NO_WORKSPACE
     ) -> transport.Response:
-        request_id = f'{next(self.ids)}'
-        self.work_book[request_id] = work
+        request_id = f'{next(self.request_ids)}'
+        self.work_by_request[request_id] = work
         try:
-            return await host.ask(path, request_id, left_ms, workspace)
+            return await host.send_request(
+                path, request_id, remaining_ms, workspace
+            )
         finally:
-            del self.work_book[request_id]
+            del self.work_by_request[request_id]
 
     async def _call_nested(self, host, nested, work_ms, deadline_s) -> bool:
         loop = asyncio.get_running_loop()
-        left_ms = int((deadline_s - loop.time()) * 1000)
-        stated_ms = min(nested.deadline_ms, left_ms)
-        if stated_ms <= 0:
+        remaining_ms = int((deadline_s - loop.time()) * 1000)
+        request_deadline_ms = min(nested.deadline_ms, remaining_ms)
+        if request_deadline_ms <= 0:
             return False
         work = _targets.Work(work_ms, answer_bytes=nested.answer_bytes)
-        path = f'/{_nested_name(nested.target_set)}/{next(self.ids)}'
-        response = await self._ask(host, path, work, stated_ms)
-        return response.status == SUCCESS
+        path = (
+            f'/{_make_nested_name(nested.target_set)}/{next(self.request_ids)}'
+        )
+        response = await self._send_request(
+            host, path, work, request_deadline_ms
+        )
+        return response.status == STATUS_OK
 
 
 def _make_workspaces(
     callers: Iterable[_loads.CallerKind],
 ) -> tuple[bundles.Workspace, ...]:
-    """Make the workspaces that callers name; their names are their keys."""
+    """Make the workspaces of all callers; the API key of each is its name."""
     priorities = {
         kind.workspace: kind.workspace_priority
         for kind in callers
@@ -384,7 +429,7 @@
     )
 
 
-def _nested_name(target_set: str) -> str:
+def _make_nested_name(target_set: str) -> str:
     return f'nested-{target_set}'
 
 
@@ -405,7 +450,10 @@
 
 
 def _draw_work(rng: random.Random, kind: _loads.CallerKind) -> _targets.Work:
-    """Draw all work of one caller, so that a seed fixes what is asked."""
+    """Draw all work of a caller in advance.
+
+    The demand then depends on the seed only, not on the responses.
+    """
     work_ms = _draw_work_ms(rng, kind.work_ms, kind.work_spread)
     is_hasty = kind.hasty_share > 0 and rng.random() < kind.hasty_share
     nested = kind.nested
@@ -417,7 +465,7 @@
             answer_bytes=kind.answer_bytes,
         )
     nested_ms = tuple(
-        _draw_work_ms(rng, nested.work_ms, NESTED_SPREAD)
+        _draw_work_ms(rng, nested.work_ms, NESTED_WORK_SPREAD)
         for _ in range(nested.count)
     )
     return _targets.Work(
@@ -430,12 +478,26 @@
 
 
 def _draw_work_ms(rng: random.Random, mean_ms: float, spread: float) -> float:
-    """Draw from a lognormal distribution of the given mean."""
+    """Draw a processing time from a lognormal distribution.
+
+    Parameters
+    ----------
+    rng : random.Random
+        Source of randomness.
+    mean_ms : float
+        Mean of the distribution, in milliseconds.
+    spread : float
+        Standard deviation of the logarithm.
+    """
     return rng.lognormvariate(math.log(mean_ms) - spread**2 / 2, spread)
 
 
 def _draw_poisson(rng: random.Random, mean: float) -> int:
-    """Draw a number of arrivals (Knuth's method; small means only)."""
+    """Draw from a Poisson distribution.
+
+    Uses Knuth's algorithm, which suits small means only, as its running time
+    grows with the mean.
+    """
     limit = math.exp(-mean)
     count = 0
     product = rng.random()
--- a/sedgering/model/_targets.py
+++ b/sedgering/model/_targets.py
@@ -1,4 +1,4 @@
-"""Model of a target: slots, a queue, speed, and calls of its own."""
+"""Model of a target: its slots, queue, speed and nested calls."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -9,34 +9,34 @@
 from sedgering.model import _loads
 from sedgering import transport
 
-__all__ = ['ModelTarget', 'TargetDown', 'TargetEnded', 'Work']
+__all__ = ['ModelTarget', 'TargetCrashed', 'TargetDown', 'Work']
 
 
 class TargetDown(Exception):
-    """Nobody listens; nothing was sent."""
+    """The target is not listening, so the request was not sent."""
 
 
-class TargetEnded(Exception):
-    """The target has ended while a request was under way."""
+class TargetCrashed(Exception):
+    """The target crashed while it was processing the request."""
 
 
 class Work:
-    """What one request asks of a target.
+    """Work that one request causes at a target.
 
     Parameters
     ----------
     work_ms : float
-        Time at a target of speed 1.
+        Processing time at a target of speed 1, in milliseconds.
     nested : NestedCalls or None
-        Calls that it makes.
+        Calls that the target makes while it processes the request.
     nested_ms : tuple of float
-        Work of each of these.
+        Processing time of each nested call, in milliseconds.
     is_fatal : bool
-        Whether a target ends after this work.
+        Whether the target crashes after the processing time.
     is_hasty : bool
-        Whether its caller comes back at once.
+        Whether the caller ignores Retry-After and retries almost at once.
     answer_bytes : int
-        Size of the answer.
+        Size of the response body in bytes.
     """
 
     def __init__(
@@ -57,16 +57,16 @@
 
 
 class ModelTarget:
-    """One target.
+    """A simulated target.
 
     Parameters
     ----------
     group : TargetGroup
-        Its slots and queue.
+        Number of slots, length of the queue, and noise.
     speed : float
-        Work takes its time divided by this.
+        Divides the processing time of a request.
     rng : random.Random
-        Draws refusals.
+        Draws refusals and noise.
     """
 
     def __init__(
@@ -76,77 +76,88 @@
         self.speed = speed
         self.rng = rng
         self.slowness = 1.0
-        #: How many times as long work takes on its host at this moment.
+        #: Factor by which noisy neighbours currently slow down its host.
         self.noise = 1.0
         self.shed_share = 0.0
         self.is_up = True
-        #: Times that it has ended.
-        self.ends = 0
-        #: Plans its return; set by the player.
-        self.on_end: Callable[[], None]
-        self._working: set[asyncio.Task] = set()
-        self._start_anew()
-        #: Makes one nested call and says whether it succeeded.
-        self.call: Callable[
+        #: Number of crashes so far.
+        self.crash_count = 0
+        #: Schedules a restart after a crash; set by the simulation.
+        self.schedule_restart: Callable[[], None]
+        self._running: set[asyncio.Task] = set()
+        self._reset_slots()
+        #: Makes one nested call and returns whether it succeeded; set by the
+        #: simulation.
+        self.call_nested: Callable[
             [_loads.NestedCalls, float, float], Awaitable[bool]
         ]
 
-    def _start_anew(self) -> None:
+    def _reset_slots(self) -> None:
         self._slots = asyncio.Semaphore(self.group.slots)
         self._waiting = 0
 
     @property
     def load_field(self) -> str | None:
-        """What it tells of its load; None when it tells no slowness."""
+        """Load header field of an answer; None if slowness is not reported."""
         if not self.group.tells_slowness:
             return None
         slots = self.group.slots
         percent = round(100 * self.noise)
-        return f'{len(self._working)},{self._waiting},{slots},{percent}'
+        return f'{len(self._running)},{self._waiting},{slots},{percent}'
 
-    def change_noise(self) -> None:
-        """Draw anew whether its host is slow."""
+    def draw_noise(self) -> None:
+        """Redraw whether noisy neighbours slow down the host."""
         noise = self.group.noise
-        is_slow = self.rng.random() < noise.share
-        self.noise = noise.factor if is_slow else 1.0
+        has_noise = self.rng.random() < noise.share
+        self.noise = noise.factor if has_noise else 1.0
 
-    def end(self) -> None:
-        """End, with all that is under way."""
+    def crash(self) -> None:
+        """Crash, and abort all requests in progress."""
         if not self.is_up:
             return
         self.is_up = False
-        self.ends += 1
-        for working in self._working:
-            working.cancel()
-        self.on_end()
+        self.crash_count += 1
+        for task in self._running:
+            task.cancel()
+        self.schedule_restart()
 
     def start(self) -> None:
-        """Start a new lifetime."""
-        self._start_anew()
+        """Start a new lifetime with empty slots and an empty queue."""
+        self._reset_slots()
         self.is_up = True
 
     async def run(self, work: Work, deadline_s: float) -> mesh.CallAnswer:
-        """Run one request.
+        """Process one request.
+
+        Parameters
+        ----------
+        work : Work
+            Work that the request causes.
+        deadline_s : float
+            Deadline of the request, which also limits its nested calls, in
+            seconds of the event loop's clock.
 
         Raises
         ------
-        TargetDown, TargetEnded
-            When there is no answer.
+        TargetDown
+            If the target is not running.
+        TargetCrashed
+            If the target crashes before it answers.
         """
         if not self.is_up:
             raise TargetDown
         loop = asyncio.get_running_loop()
-        working = loop.create_task(self._run(work, deadline_s))
-        self._working.add(working)
+        task = loop.create_task(self._run(work, deadline_s))
+        self._running.add(task)
         try:
-            return await working
+            return await task
         except asyncio.CancelledError:
-            working.cancel()
+            task.cancel()
             if not asyncio.current_task().cancelling():
-                raise TargetEnded from None
+                raise TargetCrashed from None
             raise
         finally:
-            self._working.discard(working)
+            self._running.discard(task)
 
     async def _run(self, work: Work, deadline_s: float) -> mesh.CallAnswer:
         is_full = self._slots.locked() and self._waiting >= self.group.queue
@@ -162,32 +173,32 @@
         finally:
             self._waiting -= 1
         try:
-            is_good = await self._work(work, deadline_s)
+            is_successful = await self._process(work, deadline_s)
         finally:
             self._slots.release()
         return mesh.CallAnswer(
             mesh.CallOutcome.ANSWERED,
             transport.Response(
-                200 if is_good else 500, [], bytes(work.answer_bytes)
+                200 if is_successful else 500, [], bytes(work.answer_bytes)
             ),
             reached_target=True,
         )
 
-    async def _work(self, work: Work, deadline_s: float) -> bool:
+    async def _process(self, work: Work, deadline_s: float) -> bool:
         slowness = self.slowness * self.noise / self.speed
         await asyncio.sleep(work.work_ms * slowness / 1000)
         if work.is_fatal:
-            self.end()
+            self.crash()
         nested = work.nested
         if nested is None:
             return True
         if nested.is_parallel:
             calls = [
-                self.call(nested, work_ms, deadline_s)
+                self.call_nested(nested, work_ms, deadline_s)
                 for work_ms in work.nested_ms
             ]
             return all(await asyncio.gather(*calls))
         for work_ms in work.nested_ms:
-            if not await self.call(nested, work_ms, deadline_s):
+            if not await self.call_nested(nested, work_ms, deadline_s):
                 return False
         return True
