--- a/sedgering/testing/__init__.py
+++ b/sedgering/testing/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what surrounds the product: platform, targets, callers.
+"""Test doubles for the platform, the targets and the callers.
 
-Used by the tests, the demo and the benchmarks; no part of the product
-imports it but the program ``sedgering-standin``.
+Used by the tests, the demo, the soak test and the benchmarks.  Within the
+product, only the development programs in ``sedgering.cli`` import it.
 """
 
 from sedgering.testing._callers import Caller
--- a/sedgering/testing/_callers.py
+++ b/sedgering/testing/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that know what they sent, and judge what came back."""
+"""Load-generating callers that check every response they receive."""
 
 import hashlib
 import itertools
@@ -11,10 +11,10 @@
 __all__ = ['CallKind', 'CallRecord', 'Caller', 'Verdict', 'judge_calls']
 
 TIMEOUT_S = 15.0
-#: Tries of a call with a key, and the time between two of them.
-TRIES = 4
-REPEAT_PAUSE_S = 0.3
-NEVER_SENT = (
+#: Attempts of a call with an idempotency key, and the delay between them.
+MAX_ATTEMPTS = 4
+RETRY_DELAY_S = 0.3
+NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
@@ -22,56 +22,57 @@
 
 
 class CallRecord(msgspec.Struct):
-    """One call, its tries, and what its caller was told.
+    """The result of one call over all its attempts.
 
     Parameters
     ----------
     request_id : str
-        Names the call in the ledgers of the targets.
+        Identifies the call in the execution logs of the targets.
     is_repeatable : bool
-        Whether the call may run more than once.
+        Whether the call may be executed more than once.
     is_answered : bool
-        Whether the whole answer to this very call arrived, or the word
-        that it ran before.
-    is_cut : bool
-        Whether an answer began and was not whole, or was another's.
-    is_broken : bool
-        Whether a connection ended without any answer.
+        Whether the complete response to this call arrived, or a response
+        saying that the call had been executed before.
+    is_corrupt : bool
+        Whether a response was truncated or belonged to another call.
+    has_connection_error : bool
+        Whether a connection failed before any response.
     told_not_run : bool
-        Whether every try was told "not run", or not even sent.
+        Whether every attempt was answered "not run" or never sent.
     told_unknown : bool
-        Whether the last word was "outcome unknown".
+        Whether the last response was "outcome unknown".
     """
 
     request_id: str
     is_repeatable: bool
     is_answered: bool = False
-    is_cut: bool = False
-    is_broken: bool = False
+    is_corrupt: bool = False
+    has_connection_error: bool = False
     told_not_run: bool = True
     told_unknown: bool = False
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """Sum over all calls.
+    """Counts over all calls.
 
     Parameters
     ----------
     sent, answered : int
-        Calls sent, and calls with their whole answer.
+        Calls sent, and calls with their complete response.
     lost : int
-        Calls without any answer, or answered but in no ledger.
+        Calls without any response, or answered but in no execution log.
     doubled : int
-        Calls that may not be repeated and ran more than once.
+        Non-repeatable calls that were executed more than once.
     cut : int
-        Answers that were not whole or belonged to another call.
+        Responses that were truncated or belonged to another call.
     told_wrongly : int
-        Calls told "not run" that stand in a ledger.
+        Calls answered "not run" although a target executed them.
     told_not_run, told_unknown : int
-        Calls whose last word was one of these.
+        Calls whose final outcome was "not run" or "outcome unknown".
     broken : int
-        Calls of which a try ended with its connection, answered later or
-        not: a daemon that is killed does that to what it has under way.
+        Calls with an attempt that failed with its connection, whether or
+        not a later attempt was answered.  Killing a daemon does this to
+        the requests it has in flight.
     """
 
     sent: int
@@ -86,7 +87,7 @@
 
 
 class CallKind(msgspec.Struct, frozen=True):
-    """What to send.
+    """One kind of request to send.
 
     Parameters
     ----------
@@ -97,8 +98,8 @@
     is_repeatable : bool
         Whether its route is repeatable.
     has_key : bool
-        Whether it carries an Idempotency-Key and is tried again, through
-        another proxy, while its outcome is not known.
+        Whether the request carries an Idempotency-Key and is retried
+        through a randomly chosen proxy while its outcome is unknown.
     """
 
     method: str
@@ -109,7 +110,7 @@
 
 
 class Caller:
-    """Sends calls in a thread of its own until it is stopped.
+    """Sends calls from its own thread until it is stopped.
 
     Parameters
     ----------
@@ -118,11 +119,11 @@
     host : str
         Host name of the routes.
     kinds : sequence of CallKind
-        Sent in turn.
+        Sent in round-robin order.
     seed : int
-        Makes request ids and bodies.
+        Seed of the request ids, the bodies and the choice of proxy.
     pause_s : float
-        Time between two calls.
+        Delay before each call, in seconds.
     """
 
     def __init__(self, ports, host, kinds, seed, pause_s):
@@ -138,11 +139,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Send in the background."""
+        """Start sending in the background."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Finish the call under way and end."""
+        """Stop after the call in flight and wait for the thread."""
         self._is_stopped.set()
         self._thread.join(2 * TIMEOUT_S)
 
@@ -157,13 +158,15 @@
 
     def _send(self, record: CallRecord, kind: CallKind) -> None:
         body = self._rng.randbytes(kind.size_bytes)
-        for _ in range(TRIES if kind.has_key else 1):
-            self._try(record, kind, body)
-            if record.is_answered or record.is_cut:
+        for _ in range(MAX_ATTEMPTS if kind.has_key else 1):
+            self._send_attempt(record, kind, body)
+            if record.is_answered or record.is_corrupt:
                 return
-            self._is_stopped.wait(REPEAT_PAUSE_S)
+            self._is_stopped.wait(RETRY_DELAY_S)
 
-    def _try(self, record: CallRecord, kind: CallKind, body: bytes) -> None:
+    def _send_attempt(
+        self, record: CallRecord, kind: CallKind, body: bytes
+    ) -> None:
         headers = {'Host': self._host, 'X-Request-Id': record.request_id}
         if kind.has_key:
             headers['Idempotency-Key'] = record.request_id
@@ -175,49 +178,49 @@
                 body=body or None,
                 headers=headers,
             )
-        except NEVER_SENT:
+        except NOT_SENT_ERRORS:
             return
         except urllib3.exceptions.IncompleteRead:
-            record.is_cut = True
+            record.is_corrupt = True
         except urllib3.exceptions.HTTPError as error:
-            record.is_broken = True
-            record.is_cut = 'IncompleteRead' in repr(error)
+            record.has_connection_error = True
+            record.is_corrupt = 'IncompleteRead' in repr(error)
         else:
-            _judge_answer(record, response, body)
+            _record_response(record, response, body)
             return
         record.told_not_run = False
 
 
-def _judge_answer(record: CallRecord, response, body: bytes) -> None:
-    told = response.headers.get(OUTCOME_HEADER)
-    record.told_unknown = told == 'unknown'
-    if told == 'not-run':
+def _record_response(record: CallRecord, response, body: bytes) -> None:
+    outcome = response.headers.get(OUTCOME_HEADER)
+    record.told_unknown = outcome == 'unknown'
+    if outcome == 'not-run':
         return
     record.told_not_run = False
-    if told == 'run-before':
+    if outcome == 'run-before':
         record.is_answered = True
-    elif told is None:
+    elif outcome is None:
         answer = msgspec.json.decode(response.data)
         is_own = answer['request'] == record.request_id
         digest = hashlib.sha256(body).hexdigest()
         record.is_answered = is_own and answer['body_sha256'] == digest
-        record.is_cut = not record.is_answered
+        record.is_corrupt = not record.is_answered
 
 
 def judge_calls(records: list[CallRecord], ledger: dict[str, int]) -> Verdict:
-    """Compare what callers were told with what the targets ran.
+    """Compare the responses to callers with what the targets executed.
 
     Parameters
     ----------
     records : list of CallRecord
-        Of all callers.
+        Calls of all callers.
     ledger : dict of str to int
-        How often each call ran, over all targets.
+        Number of executions of each request id, over all targets.
     """
     runs = {
         item.request_id: ledger.get(item.request_id, 0) for item in records
     }
-    told = [item for item in records if item.told_not_run]
+    not_run = [item for item in records if item.told_not_run]
     return Verdict(
         sent=len(records),
         answered=sum(item.is_answered for item in records),
@@ -226,17 +229,17 @@
             not item.is_repeatable and runs[item.request_id] > 1
             for item in records
         ),
-        cut=sum(item.is_cut for item in records),
-        told_wrongly=sum(runs[item.request_id] > 0 for item in told),
-        told_not_run=len(told),
+        cut=sum(item.is_corrupt for item in records),
+        told_wrongly=sum(runs[item.request_id] > 0 for item in not_run),
+        told_not_run=len(not_run),
         told_unknown=sum(item.told_unknown for item in records),
-        broken=sum(item.is_broken for item in records),
+        broken=sum(item.has_connection_error for item in records),
     )
 
 
 def _is_lost(record: CallRecord, runs: int) -> bool:
     if record.is_answered:
         return runs == 0
-    if record.is_cut or record.is_broken:
+    if record.is_corrupt or record.has_connection_error:
         return False
     return not (record.told_not_run or record.told_unknown)
--- a/sedgering/testing/_engine.py
+++ b/sedgering/testing/_engine.py
@@ -1,4 +1,4 @@
-"""Table service and object store in memory, with faults on demand."""
+"""In-memory table service and object store with fault injection."""
 
 import collections
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 from sedgering import storage
 
 __all__ = [
-    'AnswerLost',
+    'ResponseLost',
     'Faults',
     'InMemoryPlatform',
     'PlatformEngine',
@@ -24,47 +24,48 @@
     'TableEntry',
 ]
 
-#: Budgets of the brief: several hundred writes, two thousand reads.
+#: Rate limits of the real platform: several hundred writes and two thousand
+#: reads per second.
 WRITES_PER_S = 400
 READS_PER_S = 2000
-#: Names of fetched objects that are kept for tests.
-FETCHED_LIMIT = 1000
-#: Changes kept for watches.
-HISTORY_LIMIT = 100_000
+#: Number of fetched object names that are kept for tests.
+MAX_FETCHED_NAMES = 1000
+#: Number of changes that are kept for watches.
+MAX_HISTORY_CHANGES = 100_000
 
 
 class StoreMode(enum.Enum):
-    """How the store treats calls."""
+    """How the store handles calls."""
 
     SOUND = 'sound'
-    #: Every call is refused before it does anything.
+    #: Every call is rejected before it has any effect.
     BUSY = 'busy'
     LIMITED = 'limited'
-    #: Connections are cut, and nothing is done.
+    #: Connections are closed without a response; calls have no effect.
     RESET = 'reset'
     SILENT = 'silent'
-    #: Writes are done, and their answers are lost.
+    #: Writes take effect, and their responses are lost.
     LOSE_ANSWERS = 'lose answers'
-    #: Writes are done after `late_ms`, and their answers are lost.
+    #: Writes take effect after `late_ms`, and their responses are lost.
     LATE = 'late'
 
 
 class Faults(msgspec.Struct):
-    """Faults in force.
+    """Currently injected faults.
 
     Parameters
     ----------
     mode : StoreMode
-        How all calls are treated.
+        How all calls are handled.
     slow_ms : int
-        Every call takes this much longer.
+        Delay added to every call.
     late_ms : int
-        After which time late writes are done.
+        Delay of writes in the mode `LATE`.
     lose_answers : int
-        So many writes to come take effect without an answer.
+        Number of following writes that take effect but get no response.
     delay_writes : int
-        So many transactions to come get no answer, and are carried out
-        only by :meth:`PlatformEngine.deliver_delayed`, or never.
+        Number of following transactions that get no response.  They are
+        applied only by :meth:`PlatformEngine.deliver_delayed`, if at all.
     """
 
     mode: StoreMode = StoreMode.SOUND
@@ -75,7 +76,7 @@
 
 
 class Stats(msgspec.Struct):
-    """Calls since the start."""
+    """Counts of calls and sent bytes since the start."""
 
     reads: int = 0
     writes: int = 0
@@ -86,16 +87,16 @@
 
 
 class TableEntry(msgspec.Struct, frozen=True):
-    """One condition, write or removal, with its table.
+    """One condition, write or deletion of a row.
 
     Parameters
     ----------
     table, key
-        The row.
+        Table and key of the row.
     revision : int
-        At which it must be, in a condition.
+        Revision that a condition requires; unused otherwise.
     value : bytes
-        What is written.
+        Value to write.
     """
 
     table: str
@@ -104,63 +105,63 @@
     value: bytes = b''
 
 
-class _Bucket:
-    """Token bucket with one second of burst."""
+class _TokenBucket:
+    """Token bucket whose capacity is one second of its rate."""
 
     def __init__(self, per_s: int):
         self.per_s = per_s
         self._tokens = float(per_s)
-        self._at_s = 0.0
+        self._refilled_at_s = 0.0
 
     def take(self, now_s: float) -> bool:
-        """Take a token when there is one."""
-        gained = (now_s - self._at_s) * self.per_s
+        """Take a token; return whether one was available."""
+        gained = (now_s - self._refilled_at_s) * self.per_s
         self._tokens = min(float(self.per_s), self._tokens + gained)
-        self._at_s = now_s
+        self._refilled_at_s = now_s
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
 
-class AnswerLost(Exception):
-    """The write may have taken effect; no answer is given."""
+class ResponseLost(Exception):
+    """The write may have taken effect, but its response is lost."""
 
 
 class PlatformEngine:
-    """Rows, objects, budgets and faults; thread-safe.
+    """Rows, objects, rate limits and faults; thread-safe.
 
     Parameters
     ----------
     now_s : callable
-        Monotonic time in seconds, for the budgets.
+        Returns the monotonic time in seconds, for the rate limits.
     """
 
     def __init__(self, now_s=time.monotonic):
         self.faults = Faults()
         self.stats = Stats()
         self.fetched_objects: collections.deque[str] = collections.deque(
-            maxlen=FETCHED_LIMIT
+            maxlen=MAX_FETCHED_NAMES
         )
-        #: Called after each change, in the thread that made it.
+        #: Called after each change, in the thread that made the change.
         self.listeners: list[Callable[[], None]] = []
         self.revision = 0
         self._now_s = now_s
         self._rows: dict[tuple[str, str], storage.Row] = {}
         self._changes: collections.deque[tuple[str, storage.Row]] = (
-            collections.deque(maxlen=HISTORY_LIMIT)
+            collections.deque(maxlen=MAX_HISTORY_CHANGES)
         )
-        self._oldest = 0
+        self._oldest_revision = 0
         self._objects: dict[str, bytes] = {}
         self._delayed: list[tuple] = []
         self._lock = threading.Lock()
-        self._writes = _Bucket(WRITES_PER_S)
-        self._reads = _Bucket(READS_PER_S)
+        self._writes = _TokenBucket(WRITES_PER_S)
+        self._reads = _TokenBucket(READS_PER_S)
 
     def read(
         self, keys: Sequence[str], table: str = platform.RECORDS_TABLE
     ) -> tuple[storage.Row, ...]:
-        """Read rows as of one moment."""
+        """Read rows from one consistent snapshot."""
         with self._lock:
             self._admit(self._reads)
             self.stats.reads += 1
@@ -172,7 +173,7 @@
     def scan(
         self, prefix: str, after: str, limit: int
     ) -> tuple[storage.Row, ...]:
-        """Read records by prefix."""
+        """Read records whose key has a prefix, in key order."""
         with self._lock:
             self._admit(self._reads)
             self.stats.reads += 1
@@ -186,7 +187,7 @@
     def list_rows(
         self, table: str, start: str, end: str
     ) -> tuple[storage.Row, ...]:
-        """Read a range of rows; an empty end is no bound."""
+        """Read rows from `start` to before `end`; empty means no end."""
         with self._lock:
             self._admit(self._reads)
             self.stats.reads += 1
@@ -197,15 +198,15 @@
             )
 
     def find_changes(self, table: str, after: int) -> tuple[storage.Row, ...]:
-        """Return the changes of a table since a revision.
+        """Return the changes to a table after a revision.
 
         Raises
         ------
         PlatformError
-            With `PLATFORM_HISTORY` when they are no longer known.
+            With `PLATFORM_HISTORY` when that history has been compacted.
         """
         with self._lock:
-            if after < self._oldest:
+            if after < self._oldest_revision:
                 raise exceptions.PlatformError(
                     exceptions.Code.PLATFORM_HISTORY
                 )
@@ -216,21 +217,21 @@
             )
 
     def admit_watch(self) -> None:
-        """Count a watch as one read."""
+        """Admit a watch and count it as one read."""
         with self._lock:
             self._admit(self._reads)
             self.stats.reads += 1
 
     def compact(self) -> None:
-        """Drop the history: watches of older revisions fail."""
+        """Drop the change history; watches of older revisions then fail."""
         with self._lock:
             self.revision += 1
-            self._oldest = self.revision
+            self._oldest_revision = self.revision
             self._changes.clear()
         self._notify()
 
     def write(self, table: str, key: str, value: bytes | None) -> None:
-        """Write or remove a row past all faults, as the operator does."""
+        """Write or delete a row as an operator, bypassing all faults."""
         entry = TableEntry(table, key, value=value or b'')
         with self._lock:
             if value is None:
@@ -240,7 +241,7 @@
         self._notify()
 
     def transact(self, transaction: storage.Transaction) -> bool:
-        """Try a transaction on records; False when a condition fails."""
+        """Apply a transaction to records; return whether conditions hold."""
         table = platform.RECORDS_TABLE
         return self.apply(
             [
@@ -260,12 +261,12 @@
         puts: Sequence[TableEntry],
         deletes: Sequence[TableEntry],
     ) -> bool:
-        """Try a transaction; False when a condition does not hold.
+        """Apply a transaction; return whether its conditions hold.
 
         Raises
         ------
-        AnswerLost, PlatformError
-            As the faults in force say.
+        ResponseLost, PlatformError
+            As the injected faults and the rate limits require.
         """
         with self._lock:
             self._admit(self._writes)
@@ -273,39 +274,39 @@
             if self.faults.delay_writes > 0:
                 self.faults.delay_writes -= 1
                 self._delayed.append((conditions, puts, deletes))
-                raise AnswerLost
-            is_met = self._try(conditions, puts, deletes)
+                raise ResponseLost
+            is_met = self._apply_if_met(conditions, puts, deletes)
         self._notify()
-        self._lose_answer()
+        self._drop_response()
         return is_met
 
     def deliver_delayed(self) -> None:
-        """Carry out the transactions that were held up on their way."""
+        """Apply the transactions that were delayed in transit."""
         with self._lock:
             for delayed in self._delayed:
-                self._try(*delayed)
+                self._apply_if_met(*delayed)
             self._delayed.clear()
         self._notify()
 
     def put_object(self, name: str, body: bytes) -> bool:
-        """Store an object; False when it is there already."""
+        """Store an object; return False if it already exists."""
         with self._lock:
             self._admit(self._writes)
             self.stats.object_puts += 1
             is_new = name not in self._objects
             self._objects.setdefault(name, body)
-        self._lose_answer()
+        self._drop_response()
         return is_new
 
     def get_object(self, name: str) -> bytes | None:
-        """Fetch an object."""
+        """Return an object, or None if it does not exist."""
         with self._lock:
             self._admit(self._reads)
             self.stats.object_gets += 1
             self.fetched_objects.append(name)
             return self._objects.get(name)
 
-    def _admit(self, bucket: _Bucket) -> None:
+    def _admit(self, bucket: _TokenBucket) -> None:
         if self.faults.mode is StoreMode.BUSY:
             raise exceptions.PlatformError(exceptions.Code.PLATFORM_DOWN)
         is_limited = self.faults.mode is StoreMode.LIMITED
@@ -324,7 +325,7 @@
         row = self._rows.get((entry.table, entry.key))
         return row.revision if row else 0
 
-    def _try(self, conditions, puts, deletes) -> bool:
+    def _apply_if_met(self, conditions, puts, deletes) -> bool:
         is_met = all(
             self._revision_of(entry) == entry.revision for entry in conditions
         )
@@ -347,21 +348,21 @@
         for listener in self.listeners:
             listener()
 
-    def _lose_answer(self) -> None:
+    def _drop_response(self) -> None:
         if self.faults.mode is StoreMode.LOSE_ANSWERS:
-            raise AnswerLost
+            raise ResponseLost
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise AnswerLost
+            raise ResponseLost
 
 
 class InMemoryPlatform(storage.TableStore, storage.ObjectStore):
-    """The stores of an engine without a network between.
+    """Direct access to the stores of an engine, without a network.
 
     Parameters
     ----------
     engine : PlatformEngine
-        Shared by all clients of a test.
+        Engine that all clients of a test share.
     """
 
     def __init__(self, engine: PlatformEngine):
@@ -374,15 +375,15 @@
     def scan(
         self, prefix: str, after: str = '', limit: int = 1000
     ) -> tuple[storage.Row, ...]:
-        """Read rows by prefix."""
+        """Read rows whose key has a prefix."""
         return self.engine.scan(prefix, after, limit)
 
     def transact(self, transaction: storage.Transaction) -> storage.Outcome:
-        """Try a transaction."""
+        """Apply a transaction."""
         try:
             is_met = self.engine.transact(transaction)
-        except (AnswerLost, exceptions.PlatformError) as error:
-            return _tell_failure(error)
+        except (ResponseLost, exceptions.PlatformError) as error:
+            return _make_failure_outcome(error)
         if is_met:
             return storage.Outcome(
                 storage.OutcomeKind.DONE, revision=self.engine.revision
@@ -395,8 +396,8 @@
         """Store an object."""
         try:
             self.engine.put_object(digest.hex(), body)
-        except (AnswerLost, exceptions.PlatformError) as error:
-            return _tell_failure(error)
+        except (ResponseLost, exceptions.PlatformError) as error:
+            return _make_failure_outcome(error)
         return storage.Outcome(storage.OutcomeKind.DONE)
 
     def get_object(self, digest: base.Digest) -> bytes:
@@ -409,7 +410,7 @@
         return body
 
 
-def _tell_failure(error: Exception) -> storage.Outcome:
+def _make_failure_outcome(error: Exception) -> storage.Outcome:
     if isinstance(error, exceptions.PlatformError):
         return storage.Outcome(storage.OutcomeKind.NOT_DONE, error.code)
     return storage.Outcome(
--- a/sedgering/testing/_exchange.py
+++ b/sedgering/testing/_exchange.py
@@ -1,8 +1,8 @@
-"""Carries commands of a few sets of tables to each other's inboxes.
+"""Simulated network between proxies, driven in discrete time steps.
 
-A fake at the interface between systems and adapters: the systems under
-test are the real ones, the codec too, and only sockets, threads and the
-clock are missing.  Every fault is chosen by the test.
+It replaces the adapters below the systems: the systems under test and the
+codec are the real ones; only sockets, threads and the clock are simulated.
+The test chooses every fault.
 """
 
 import random
@@ -25,16 +25,16 @@
 
 
 class Node:
-    """One proxy without adapters.
+    """One simulated proxy: its tables and systems without adapters.
 
     Parameters
     ----------
     proxy_settings : ProxySettings
-        Its address is unique in the exchange.
+        Settings; the address is unique in the exchange.
     incarnation : int
-        Of the process.
+        Incarnation of the process.
     rng : random.Random
-        Source of its choices.
+        Source of the random choices of the proxy.
     """
 
     def __init__(self, proxy_settings, incarnation, rng):
@@ -47,9 +47,9 @@
 
     @property
     def address(self) -> messages.PeerAddress:
-        """IP number and peer port."""
-        own = self.tables.settings
-        return str(own.address), own.peer_port
+        """IP address and peer port."""
+        node_settings = self.tables.settings
+        return str(node_settings.address), node_settings.peer_port
 
     @property
     def name(self) -> str:
@@ -58,43 +58,44 @@
 
     @property
     def version(self) -> int:
-        """Version in force."""
+        """Configuration version in force."""
         return self.tables.holder.version
 
     @property
     def is_serving(self) -> bool:
-        """Whether requests would be taken."""
+        """Whether the proxy would accept requests."""
         return self.tables.self_row.state is peer.HostState.SERVING
 
     def tick(self, now_ms: int) -> None:
-        """Run the systems once and note the version."""
+        """Run the systems once and record a change of version."""
         control.run_tick(self.systems, self.tables, now_ms)
         if not self.versions or self.versions[-1] != self.version:
             self.versions.append(self.version)
 
 
 class Exchange:
-    """A few nodes, the platform, and what is on its way between them.
+    """Nodes, the platform, and the messages in flight between them.
 
     Parameters
     ----------
     store : TableStore and ObjectStore
-        The platform.
+        Store of the platform.
     seed : int
-        Of all random choices.
+        Seed of all random choices.
     options : dict
-        Settings of all nodes beyond the names and addresses.
+        Settings of all nodes in addition to names and addresses.
 
     Attributes
     ----------
     loss, duplication : float
-        Share of datagrams lost, and delivered twice.
+        Fraction of datagrams that are lost or delivered twice.
     delay_ticks : int
-        Longest delay of a datagram; with more than one, order is lost.
+        Longest delay of a datagram in ticks; above 1, datagrams can be
+        reordered.
     cut : set of frozenset of str
-        Pairs of data centres, or single hosts, that cannot talk.
+        Partitioned pairs of data centres, and isolated single hosts.
     dropped_parts : set of str
-        Parts that are taken out of every datagram.
+        Fields that are removed from every datagram.
     cut_platform : set of str
         Data centres and hosts that cannot reach the platform.
     """
@@ -113,10 +114,10 @@
         self.cut_platform: set[str] = set()
         self.damage_contents = 0
         self._incarnations = 0
-        self._on_the_way: list = []
+        self._in_flight: list = []
 
     def add(self, data_centre: str, number: int) -> Node:
-        """Start a node, or start it anew with nothing remembered."""
+        """Start a node, or restart it without any retained state."""
         address = f'127.1.0.{number}'
         self._incarnations += 1
         proxy_settings = msgspec.convert(
@@ -143,42 +144,42 @@
         return node
 
     def kill(self, node: Node) -> None:
-        """End a node without a word; what its own calls bring is lost."""
+        """Crash a node; pending responses to its own calls are lost."""
         del self.nodes[node.address]
-        self._on_the_way = [
+        self._in_flight = [
             item
-            for item in self._on_the_way
+            for item in self._in_flight
             if item[1] != node.address
             or isinstance(item[2], messages.ReceivedDatagram)
         ]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         for _ in range(int(seconds * 1000 / TICK_MS)):
             self.step()
 
     def run_until(self, condition, seconds: float) -> float:
-        """Let time pass until a condition holds; return the seconds.
+        """Advance the time until a condition holds; return the seconds.
 
         Raises
         ------
         TimeoutError
-            When it does not hold in time.
+            When the condition does not hold in time.
         """
         started_ms = self.now_ms
         while not condition():
             elapsed_s = (self.now_ms - started_ms) / 1000
             if elapsed_s > seconds:
-                raise TimeoutError(f'not within {seconds} s')
+                raise TimeoutError(f'condition not met within {seconds} s')
             self.step()
         return (self.now_ms - started_ms) / 1000
 
     def step(self) -> None:
-        """Deliver what is due, tick every node, and carry commands out."""
+        """Deliver due events, tick every node, and execute its commands."""
         self.now_ms += TICK_MS
-        due = [item for item in self._on_the_way if item[0] <= self.now_ms]
-        self._on_the_way = [
-            item for item in self._on_the_way if item[0] > self.now_ms
+        due = [item for item in self._in_flight if item[0] <= self.now_ms]
+        self._in_flight = [
+            item for item in self._in_flight if item[0] > self.now_ms
         ]
         for _due_ms, address, event in due:
             node = self.nodes.get(address)
@@ -187,27 +188,32 @@
         for node in tuple(self.nodes.values()):
             if not node.is_paused:
                 node.tick(self.now_ms)
-                self._carry_out(node)
+                self._process_outbox(node)
 
     def replay(self, sender: Node, receiver: Node, datagram) -> None:
-        """Deliver a datagram that was recorded earlier."""
+        """Deliver a previously recorded datagram again."""
         receiver.tables.inbox.add(
             messages.ReceivedDatagram(datagram, sender.address)
         )
 
-    def _carry_out(self, node: Node) -> None:
+    def _process_outbox(self, node: Node) -> None:
         outbox = node.tables.outbox
         for address, datagram in outbox.datagrams.items():
             self._send(node, address, datagram)
-        events = [self._answer(node, item) for item in outbox.platform]
-        events += [self._ask_peer(node, item) for item in outbox.peers]
+        events = [
+            self._execute_platform_command(node, item)
+            for item in outbox.platform
+        ]
+        events += [
+            self._execute_peer_command(node, item) for item in outbox.peers
+        ]
         for event in events:
             if event is not None:
-                self._post(node.address, event, 1)
+                self._schedule_event(node.address, event, 1)
         outbox.clear()
 
     def _send(self, node: Node, address, datagram) -> None:
-        if not self._can_talk(node, address):
+        if not self._can_reach(node, address):
             return
         for part in self.dropped_parts:
             setattr(datagram, part, None)
@@ -221,13 +227,13 @@
                 peer.decode_datagram(data, 'mesh'), node.address
             )
             ticks = self.rng.randint(1, self.delay_ticks)
-            self._post(address, received, ticks)
+            self._schedule_event(address, received, ticks)
 
-    def _post(self, address, event, ticks: int) -> None:
+    def _schedule_event(self, address, event, ticks: int) -> None:
         due_ms = self.now_ms + ticks * TICK_MS
-        self._on_the_way.append((due_ms, address, event))
+        self._in_flight.append((due_ms, address, event))
 
-    def _can_talk(self, node: Node, address) -> bool:
+    def _can_reach(self, node: Node, address) -> bool:
         other = self.nodes.get(address)
         if other is None:
             return False
@@ -236,10 +242,13 @@
             return False
         return all(frozenset((end.host,)) not in self.cut for end in ends)
 
-    def _answer(self, node: Node, command):
-        own = node.tables.settings
+    def _execute_platform_command(self, node: Node, command):
+        node_settings = node.tables.settings
         try:
-            if self.cut_platform & {own.host, own.data_centre}:
+            if self.cut_platform & {
+                node_settings.host,
+                node_settings.data_centre,
+            }:
                 raise exceptions.PlatformError(exceptions.Code.PLATFORM_DOWN)
             if isinstance(command, messages.ReadHead):
                 return self._read_head(command)
@@ -282,11 +291,11 @@
             return None
         return messages.RowWriteFailed(command.key)
 
-    def _ask_peer(self, node: Node, command):
+    def _execute_peer_command(self, node: Node, command):
         other = self.nodes.get(command.address)
         is_silent = other is None or other.is_paused
         is_pull = isinstance(command, messages.PullRows)
-        if is_silent or not self._can_talk(node, command.address):
+        if is_silent or not self._can_reach(node, command.address):
             if is_pull:
                 return messages.RowsPulled(())
             return messages.FetchFailed(exceptions.Code.PEER_UNREACHABLE)
--- a/sedgering/testing/_fleet.py
+++ b/sedgering/testing/_fleet.py
@@ -1,6 +1,6 @@
 """Starts and stops the processes of a small fleet on loopback.
 
-A development tool: no program of the product starts another process.
+For development only: no program of the product starts another process.
 """
 
 from collections.abc import Sequence
@@ -37,7 +37,8 @@
 def free_ports(count: int) -> list[int]:
     """Find ports that are free for both TCP and UDP.
 
-    All are held until the last one is found, so that none comes twice.
+    All sockets stay bound until the last port is found, so that no port is
+    returned twice.
     """
     ports = []
     with contextlib.ExitStack() as held:
@@ -56,7 +57,7 @@
 
 
 def is_listening(port: int) -> bool:
-    """Say whether a process accepts connections on a loopback port."""
+    """Return whether a process accepts connections on a loopback port."""
     try:
         socket.create_connection((ADDRESS, port), timeout=1.0).close()
     except OSError:
@@ -65,7 +66,7 @@
 
 
 class ProxyProcess(msgspec.Struct):
-    """One sedgering-proxy and how to reach it."""
+    """One sedgering-proxy process and its ports."""
 
     host: str
     data_centre: str
@@ -77,16 +78,16 @@
 
 
 class Fleet:
-    """Platform stand-in and proxies, each a process of its own.
+    """Platform stand-in and proxies, each in a separate process.
 
     Parameters
     ----------
     folder : Path
-        Settings and logs.
+        Directory of the settings files and logs.
     mesh : str
-        Mesh of all of them.
+        Mesh of all proxies.
     overrides : dict
-        Settings of every proxy, over the defaults.
+        Settings of every proxy that replace the defaults.
     """
 
     def __init__(self, folder: pathlib.Path, mesh: str, overrides: dict):
@@ -101,7 +102,7 @@
         self._processes: list[subprocess.Popen] = []
 
     def start_platform(self) -> None:
-        """Start the platform stand-in and wait for it."""
+        """Start the platform stand-in and wait until it responds."""
         self.start_program(
             'standin',
             ['platform', '--port', str(self.platform_port)],
@@ -110,7 +111,7 @@
         self.wait_until(lambda: self.stats() is not None, 'platform')
 
     def add_proxies(self, data_centres: Sequence[str]) -> None:
-        """Write the settings of one proxy for each entry, and start it."""
+        """Write the settings of one proxy per entry and start the proxy."""
         ports = free_ports(3 * len(data_centres))
         for index, data_centre in enumerate(data_centres):
             data_port, peer_port, admin_port = ports[3 * index : 3 * index + 3]
@@ -136,7 +137,7 @@
     def start_program(
         self, name: str, arguments: list[str], log: str
     ) -> subprocess.Popen:
-        """Start one of the programs with its output in a log file."""
+        """Start a program that appends its output to a log file."""
         with (self.folder / f'{log}.log').open('ab') as output:
             process = subprocess.Popen(
                 [sys.executable, '-m', f'sedgering.cli.{name}', *arguments],
@@ -152,14 +153,14 @@
         target_sets: Sequence[str],
         **options,
     ) -> list[dict]:
-        """Make the settings of one target for each entry.
+        """Make the settings of one target per entry.
 
         Parameters
         ----------
         proxies : sequence of ProxyProcess
-            Whose hosts they run on, in turn.
+            Proxies on whose hosts the targets run, in round-robin order.
         target_sets : sequence of str
-            Target set of each target.
+            Target set of each target to make.
         **options
             Further fields of :class:`TargetSettings`.
         """
@@ -178,7 +179,7 @@
         ]
 
     def start_targets(self, targets: list[dict]) -> subprocess.Popen:
-        """Start target stand-ins, all in one process."""
+        """Start all given target stand-ins in one process."""
         number = len(list(self.folder.glob('targets-*.yaml')))
         config = self.folder / f'targets-{number}.yaml'
         config.write_text(yaml.safe_dump(targets))
@@ -186,7 +187,7 @@
         return self.start_program('standin', arguments, config.stem)
 
     def wait_targets(self, expected: dict[str, int]) -> None:
-        """Wait until every proxy knows so many targets of each set."""
+        """Wait until every proxy knows the expected targets per set."""
         for proxy in self.proxies:
             self.wait_until(
                 lambda proxy=proxy: (
@@ -196,12 +197,12 @@
             )
 
     def run_operator(self, *arguments: str, needs_config: bool = True) -> str:
-        """Run `sedgering` to its end and return what it printed.
+        """Run `sedgering` to completion and return its standard output.
 
         Raises
         ------
         RuntimeError
-            When it fails.
+            With the output of the program when its exit status is not 0.
         """
         command = [sys.executable, '-m', 'sedgering.cli.operator', *arguments]
         if needs_config:
@@ -225,22 +226,22 @@
         return version
 
     def write_operator_settings(self) -> pathlib.Path:
-        """Write settings for the operator's tools."""
+        """Write the settings file of the operator's tools."""
         path = self.folder / 'operator.yaml'
         content = {
             'mesh': self.mesh,
             'operator': 'anna',
-            'platform': self._platform(),
+            'platform': self._make_platform_settings(),
         }
         path.write_text(yaml.safe_dump(content))
         return path
 
     def status(self, proxy: ProxyProcess) -> dict | None:
-        """Return what a proxy says of itself; None when it is silent."""
+        """Return the status of a proxy; None if it does not respond."""
         return self.get_json(proxy.admin_port, '/status')
 
     def control_bytes(self, proxy: ProxyProcess) -> float:
-        """Return the control bytes that a proxy received so far."""
+        """Return the number of control bytes that a proxy has received."""
         samples = self._samples(proxy, 'sedgering_control_bytes_total')
         return sum(
             value for name, value in samples if 'direction="in"' in name
@@ -268,12 +269,12 @@
         return samples
 
     def stats(self) -> _engine.Stats | None:
-        """Return the counts of the platform stand-in."""
+        """Return the counts of the platform; None if it does not respond."""
         found = self.get_json(self.platform_port, '/standin/stats')
         return None if found is None else msgspec.convert(found, _engine.Stats)
 
     def set_faults(self, **faults) -> None:
-        """Put faults of the platform in force; none given, none left."""
+        """Replace the injected platform faults; no arguments clear them."""
         self.http.request(
             'POST',
             f'http://{ADDRESS}:{self.platform_port}/standin/faults',
@@ -283,12 +284,12 @@
     def wait_until(
         self, condition, what: str, timeout_s: float = START_TIMEOUT_S
     ) -> None:
-        """Wait for a condition, with a limit.
+        """Wait for a condition, up to a timeout.
 
         Raises
         ------
         TimeoutError
-            Names what did not come about.
+            Naming the condition that was not met.
         """
         deadline_s = time.monotonic() + timeout_s
         while not condition():
@@ -297,7 +298,7 @@
             time.sleep(POLL_S)
 
     def wait_members(self, timeout_s: float = START_TIMEOUT_S) -> None:
-        """Wait until every proxy knows every other."""
+        """Wait until every proxy knows every other proxy."""
         count = len(self.proxies)
         for proxy in self.proxies:
             self.wait_until(
@@ -311,16 +312,18 @@
     def wait_settled(self, timeout_s: float = START_TIMEOUT_S) -> None:
         """Wait until the member tables of all proxies are equal."""
         self.wait_members(timeout_s)
-        self.wait_until(self._is_settled, 'equal member tables', timeout_s)
+        self.wait_until(
+            self._are_members_equal, 'equal member tables', timeout_s
+        )
 
-    def _is_settled(self) -> bool:
+    def _are_members_equal(self) -> bool:
         statuses = [self.status(proxy) or {} for proxy in self.proxies]
         return len({item.get('members_digest') for item in statuses}) == 1
 
     def wait_version(
         self, version: int, timeout_s: float = START_TIMEOUT_S
     ) -> None:
-        """Wait until every proxy holds a version."""
+        """Wait until every proxy holds a version or a later one."""
         for proxy in self.proxies:
             self.wait_until(
                 lambda proxy=proxy: (
@@ -332,7 +335,7 @@
             )
 
     def stop_proxies(self) -> None:
-        """Kill all proxies and wait for their end."""
+        """Kill all proxies and wait until they have exited."""
         _kill([proxy.process for proxy in self.proxies])
 
     def stop(self) -> None:
@@ -340,7 +343,7 @@
         _kill(self._processes)
 
     def get_json(self, port: int, path: str):
-        """Fetch a JSON document from loopback; None when there is none."""
+        """Fetch a JSON document from loopback; None if that fails."""
         try:
             response = self.http.request(
                 'GET', f'http://{ADDRESS}:{port}{path}'
@@ -351,7 +354,7 @@
             return None
         return msgspec.json.decode(response.data)
 
-    def _platform(self) -> dict:
+    def _make_platform_settings(self) -> dict:
         return {'address': ADDRESS, 'port': self.platform_port}
 
     def _write_settings(self, proxy: ProxyProcess) -> None:
@@ -363,7 +366,7 @@
             'data_port': proxy.data_port,
             'peer_port': proxy.peer_port,
             'admin_port': proxy.admin_port,
-            'platform': self._platform(),
+            'platform': self._make_platform_settings(),
             **self.overrides,
         }
         proxy.config.write_text(yaml.safe_dump(content))
@@ -379,14 +382,14 @@
 
 @contextlib.contextmanager
 def make_fleet(mesh: str, overrides: dict | None = None):
-    """Make a fleet whose processes end with the context.
+    """Make a fleet whose processes are killed when the context exits.
 
     Parameters
     ----------
     mesh : str
-        Mesh of all of them.
+        Mesh of all proxies.
     overrides : dict
-        Settings of every proxy, over the defaults.
+        Settings of every proxy that replace the defaults.
     """
     with tempfile.TemporaryDirectory(prefix='sedgering-') as folder:
         fleet = Fleet(pathlib.Path(folder), mesh, overrides or {})
--- a/sedgering/testing/_http.py
+++ b/sedgering/testing/_http.py
@@ -1,4 +1,4 @@
-"""Short cuts over cheroot for the stand-ins."""
+"""Helpers on top of cheroot for the stand-ins."""
 
 import hashlib
 import logging
@@ -16,7 +16,7 @@
 
 
 def digest_body(request) -> str:
-    """Read a request body in pieces and return its SHA-256."""
+    """Read a request body in chunks and return its SHA-256 in hex."""
     digest = hashlib.sha256()
     while chunk := request.rfile.read(CHUNK_BYTES):
         digest.update(chunk)
@@ -24,7 +24,7 @@
 
 
 def send(request, status: bytes, body: bytes, headers=()) -> None:
-    """Send a whole response."""
+    """Send a complete response with its Content-Length."""
     request.status = status
     request.outheaders.extend(headers)
     request.outheaders.append((b'Content-Length', str(len(body)).encode()))
@@ -34,11 +34,11 @@
 
 
 def send_json(request, status: bytes, value) -> bytes:
-    """Send a value as JSON and return the body."""
+    """Send a value as JSON and return the encoded body."""
     body = msgspec.json.encode(value)
     send(request, status, body, ((b'Content-Type', b'application/json'),))
     return body
 
 
 def ignore_errors(msg='', level=logging.INFO, traceback=False) -> None:
-    """Keep quiet about connections that a fault cut on purpose."""
+    """Discard log messages on connections that a fault closed on purpose."""
--- a/sedgering/testing/_loops.py
+++ b/sedgering/testing/_loops.py
@@ -1,4 +1,4 @@
-"""Ends event loops that ran in threads of their own."""
+"""Shutdown of event loops that run in separate threads."""
 
 import asyncio
 
@@ -6,16 +6,16 @@
 
 
 def finish_loop(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancel what is left in a stopped loop, and close it.
+    """Cancel the remaining tasks of a stopped loop and close the loop.
 
-    A request that arrives in the last turn of the loop makes a task that has
-    not begun; without one more turn its coroutine is never awaited, which
-    Python warns of.
+    A request that arrives in the last iteration of the loop creates a task
+    that has not started.  Without one more iteration its coroutine is never
+    awaited, and Python issues a warning.
 
     Parameters
     ----------
     loop : AbstractEventLoop
-        Stopped; its thread has ended.
+        Stopped loop whose thread has ended.
     """
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
--- a/sedgering/testing/_mesh_fleet.py
+++ b/sedgering/testing/_mesh_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons, targets and a store in one event loop of a test's thread."""
+"""Daemons, targets and a store in one event loop, in a separate thread."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -20,8 +20,8 @@
 __all__ = ['MeshFleet', 'MeshHost', 'make_document', 'make_member_row']
 
 ADDRESS = '127.0.0.1'
-#: Longest time that a test waits for anything.
-PATIENCE_S = 20.0
+#: Longest time that a test waits for a coroutine or a connection.
+WAIT_TIMEOUT_S = 20.0
 PORTS_PER_HOST = 5
 HOST_HEADER = 'calendar.example'
 
@@ -32,18 +32,19 @@
     workspaces: dict[str, dict] | None = None,
     **limits: Any,
 ) -> bytes:
-    """Make an operator's document.
+    """Make an operator's configuration document.
 
     Parameters
     ----------
     version : int
         Number of the version.
     routes : list of dict
-        Fields that differ from those of a repeatable route to `calendar`.
+        Fields of each route that replace the defaults, those of a
+        repeatable route to `calendar`.
     workspaces : dict of str to dict
-        Fields of each workspace, such as its keys, by its name.
+        Fields of each workspace, such as its keys, by workspace name.
     **limits
-        Fields of the limits that differ from wide ones.
+        Limits that replace the generous defaults.
     """
     resources = []
     services = set()
@@ -69,13 +70,13 @@
         resources.append(_resource('services', name, spec))
     for name, spec in (workspaces or {}).items():
         resources.append(_resource('tenants', name, spec))
-    wide = {
+    defaults = {
         'max_header_bytes': 16384,
         'max_body_bytes': 1048576,
         'header_timeout': '3000ms',
         'idle_timeout': '15000ms',
     }
-    resources.append(_resource('limits', '', {**wide, **limits}))
+    resources.append(_resource('limits', '', {**defaults, **limits}))
     document = {'version': f'r{version}', 'resources': resources}
     return json.dumps(document).encode()
 
@@ -90,9 +91,9 @@
     Parameters
     ----------
     host : str
-        Of the row.
+        Host of the row.
     **fields
-        Those that differ.
+        Fields that replace the defaults.
     """
     return mesh.MemberRow(
         **{
@@ -110,14 +111,14 @@
 
 
 class MeshHost:
-    """One host: its daemon, its target, and the target's books.
+    """One host: its daemon, its target, and the state of the target.
 
     Parameters
     ----------
     name, target_set : str
-        Of the host and of its target.
+        Name of the host and target set of its target.
     ports : list of int
-        Free ports.
+        Free ports, :data:`PORTS_PER_HOST` of them.
     """
 
     def __init__(self, name: str, target_set: str, ports: list[int]):
@@ -125,31 +126,31 @@
         self.target_set = target_set
         self.addresses = mesh.Addresses(ADDRESS, *ports[:4], ADDRESS, ports[4])
         self.books = _mesh_target.TargetBooks(f'i-{name}')
-        #: Of the software of its target.
+        #: Software version of the target.
         self.version = 'v1'
         self.daemon: mesh.MeshDaemon | None = None
         self.servers: list = []
         self.target_server: asyncio.AbstractServer | None = None
         self.sequence = 0
-        #: Start of the lifetime of its target; 0 when that is not told.
+        #: Start of the lifetime of the target; 0 if it is not reported.
         self.born_ms = 0
-        #: Lifetimes of its target that have ended without a word.
+        #: Number of lifetimes of the target that ended in a crash.
         self.crashes = 0
 
 
 class MeshFleet:
-    """A store and hosts, started and stopped by a test.
+    """A store and several hosts that a test starts and stops.
 
     Parameters
     ----------
     mesh_settings : MeshSettings
-        Of all daemons.
+        Settings of all daemons.
     link_mbps : float
-        Width of the links of all hosts; 0 when it is not known.
+        Capacity of the link of each host; 0 if it is unknown.
     is_first_start : bool
-        Whether all daemons are told that the fleet starts for the first time.
+        Whether all daemons are configured for the first start of the fleet.
     has_rollouts : bool
-        Whether all daemons are told that the operator orders rollouts.
+        Whether all daemons are configured to follow the operator's rollouts.
     """
 
     def __init__(
@@ -164,7 +165,8 @@
         self.link_mbps = link_mbps
         self.mesh_settings = mesh_settings or mesh.MeshSettings()
         self.loop = asyncio.new_event_loop()
-        # What does not end in a test must not hold the other tests.
+        # A daemon thread, so that a task that never ends in one test does
+        # not block the other tests.
         self.thread = threading.Thread(
             target=self.loop.run_forever, daemon=True
         )
@@ -175,14 +177,14 @@
         self.run(self._start_store())
 
     def run(self, work: Coroutine) -> Any:
-        """Run a coroutine in the loop and return its result."""
+        """Run a coroutine in the event loop and return its result."""
         future = asyncio.run_coroutine_threadsafe(work, self.loop)
-        return future.result(PATIENCE_S)
+        return future.result(WAIT_TIMEOUT_S)
 
     def add_host(
         self, name: str, target_set: str = 'calendar', version: str = 'v1'
     ) -> MeshHost:
-        """Start a host whose target reports itself ready."""
+        """Start a host and let its target report that it is ready."""
         ports = _fleet.free_ports(PORTS_PER_HOST)
         host = MeshHost(name, target_set, ports)
         host.version = version
@@ -192,16 +194,16 @@
         return host
 
     def kill(self, host: MeshHost) -> None:
-        """End a daemon without leaving."""
+        """Kill a daemon without deregistration."""
         self.run(self._kill(host))
 
     def restart(self, host: MeshHost) -> None:
-        """Kill a daemon, and start it again beside the same target."""
+        """Kill a daemon and restart it next to the same target."""
         self.run(self._kill(host))
         self.run(self._start_daemon(host))
 
     def restart_all(self) -> None:
-        """Kill all daemons, and start them again when none runs."""
+        """Kill all daemons, then restart them all."""
         for host in self.hosts.values():
             self.kill(host)
         for host in self.hosts.values():
@@ -210,22 +212,22 @@
             self.report(host)
 
     def report(self, host: MeshHost, state: str = 'ready') -> int:
-        """Let a target report itself; return the status it was given."""
+        """Send a heartbeat of a target; return the HTTP status."""
         host.sequence += 1
-        return self._tell(host, 'heartbeat', state)
+        return self._send_report(host, 'heartbeat', state)
 
     def deregister(self, host: MeshHost) -> int:
-        """Let a target say that it leaves for good."""
-        return self._tell(host, 'deregister', 'draining')
+        """Deregister a target; return the HTTP status."""
+        return self._send_report(host, 'deregister', 'draining')
 
     def configure(self, document: bytes) -> None:
-        """Write the operator's document."""
+        """Write the operator's configuration document to the store."""
         self.engine.write('op', 'config', document)
 
     def order_rollout(
         self, target_set: str, version: str, duration_ms: int
     ) -> None:
-        """Write the operator's order to move the calls of a set."""
+        """Write the operator's order to roll a target set out to a version."""
         order = {
             'service': target_set,
             'to': version,
@@ -235,21 +237,21 @@
         self.engine.write('op', key, json.dumps(order).encode())
 
     def read_rollout(self, target_set: str) -> str:
-        """Return the state that the operator reads; empty before any."""
+        """Return the rollout state shown to the operator; empty if none."""
         (row,) = self.engine.read((f'rollout/{target_set}',), 'status')
         return json.loads(row.value)['state'] if row.revision else ''
 
     def call(
         self, port: int, path: str, body: bytes | None = None, **headers: str
     ) -> transport.Response:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection."""
         return self.run(self.start_call(port, path, body, **headers))
 
     async def start_call(
         self, port: int, path: str, body: bytes | None = None, **headers: str
     ) -> transport.Response:
-        """Send one request; a coroutine."""
-        connection = await transport.connect(ADDRESS, port, PATIENCE_S)
+        """Send one request on a new connection; coroutine for the loop."""
+        connection = await transport.connect(ADDRESS, port, WAIT_TIMEOUT_S)
         fields = [('Host', HOST_HEADER)]
         fields += [
             (name.replace('_', '-'), value) for name, value in headers.items()
@@ -268,7 +270,7 @@
         finally:
             connection.close()
 
-    def _tell(self, host: MeshHost, verb: str, state: str) -> int:
+    def _send_report(self, host: MeshHost, verb: str, state: str) -> int:
         request = self._make_report(host, verb, state)
         port = host.addresses.reports_port
         return self.call(port, request.url, request.body).status
@@ -287,28 +289,28 @@
         )
 
     def let_crash(self, host: MeshHost, back_after_s: float) -> None:
-        """Let the target end under what is fatal, and come back later.
+        """Let the target crash on a fatal request and restart later.
 
         Parameters
         ----------
         host : MeshHost
-            Of the target.
+            Host of the target.
         back_after_s : float
-            Time until its next lifetime, which has another id.
+            Time until the restart, which gives the target a new id.
         """
         host.books.end = lambda: self.crash(host, back_after_s)
 
     def crash(self, host: MeshHost, back_after_s: float) -> None:
-        """End a target without a word; in the thread of the loop."""
+        """Crash a target; must run in the thread of the event loop."""
         host.crashes += 1
         host.target_server.close()
         host.books.reset_connections()
         self.loop.call_later(
             back_after_s,
-            lambda: self.loop.create_task(self._start_again(host)),
+            lambda: self.loop.create_task(self._restart_target(host)),
         )
 
-    async def _start_again(self, host: MeshHost) -> None:
+    async def _restart_target(self, host: MeshHost) -> None:
         host.books.target = f'i-{host.name}-{host.crashes}'
         await self._start_target(host)
         host.sequence = 1
@@ -317,17 +319,17 @@
         await self.start_call(port, request.url, request.body)
 
     def wait_for(self, condition) -> None:
-        """Wait until a condition holds; fail after some seconds."""
+        """Wait until a condition holds; fail after half of the time limit."""
 
         async def poll() -> None:
-            async with asyncio.timeout(PATIENCE_S / 2):
+            async with asyncio.timeout(WAIT_TIMEOUT_S / 2):
                 while not condition():
                     await asyncio.sleep(0.01)
 
         self.run(poll())
 
     def wait_ready(self, members: int | None = None) -> None:
-        """Wait until all daemons are ready and know all members."""
+        """Wait until all daemons are ready and know the expected members."""
         count = len(self.hosts) if members is None else members
         self.wait_for(
             lambda: all(
@@ -338,7 +340,7 @@
         )
 
     def stop(self) -> None:
-        """Stop everything that was started."""
+        """Stop all hosts, the store and the event loop."""
         try:
             self.run(self._stop())
         finally:
@@ -395,15 +397,17 @@
             platform.MESH,
         )
         daemon = host.daemon
-        own = host.addresses
+        addresses = host.addresses
         host.servers = [
             await transport.serve(
                 platform.ReadinessService(lambda: daemon.is_ready),
                 ADDRESS,
-                own.readiness_port,
+                addresses.readiness_port,
             ),
             await transport.serve(
-                platform.ReportsService(daemon), ADDRESS, own.reports_port
+                platform.ReportsService(daemon),
+                ADDRESS,
+                addresses.reports_port,
             ),
         ]
         await daemon.start()
--- a/sedgering/testing/_mesh_target.py
+++ b/sedgering/testing/_mesh_target.py
@@ -1,4 +1,4 @@
-"""Stand-in of a target that speaks the platform's protocol."""
+"""Target stand-in that speaks the platform's protocol."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,36 +10,36 @@
 
 __all__ = ['TargetBooks', 'TargetHabit', 'TargetStandin']
 
-#: Value of SO_LINGER: on, for 0 s.
+#: Value of SO_LINGER: enabled with a timeout of 0 s.
 NO_LINGER = struct.pack('ii', 1, 0)
-RESET_AFTER_S = 0.05
-#: Proof that an answer is the target's own.
-PROOF = '3e1b.07.5a2.600.0.c9f2a4d1'
+RESET_DELAY_S = 0.05
+#: Signature with which the target proves that it sent the response.
+SIGNATURE = '3e1b.07.5a2.600.0.c9f2a4d1'
 
 
 class TargetHabit(enum.Enum):
-    """How the target treats requests."""
+    """How the target responds to requests, correctly or faultily."""
 
     SOUND = 'sound'
     SHED = 'shed'
     RESET = 'reset'
     ENCODED = 'encoded'
-    NO_PROOF = 'no proof'
-    FOREIGN = 'foreign answer first'
-    EXTRA = 'extra answer after'
+    UNSIGNED = 'no proof'
+    FOREIGN_RESPONSE_FIRST = 'foreign answer first'
+    EXTRA_RESPONSE_AFTER = 'extra answer after'
     UNFRAMED = 'unframed'
     UNFRAMED_RESET = 'unframed and reset'
-    CUT_SHORT = 'cut short'
+    TRUNCATED = 'cut short'
     FAILING = 'failing'
 
 
 class TargetStandin(asyncio.Protocol):
-    """Answers over raw connections, well or badly.
+    """One raw HTTP connection that responds correctly or faultily.
 
     Parameters
     ----------
-    state : TargetState
-        Shared by its connections.
+    state : TargetBooks
+        State that all connections of the target share.
     """
 
     def __init__(self, state: 'TargetBooks'):
@@ -49,23 +49,23 @@
         self.task: asyncio.Task | None = None
 
     def connection_made(self, transport):
-        """Count the connection."""
+        """Register the new connection."""
         self.transport = transport
         self.state.connections += 1
         self.state.open_connections.add(self)
 
     def connection_lost(self, exc):
-        """Drop a request whose connection is closed."""
+        """Cancel the request of a closed connection."""
         self.state.open_connections.discard(self)
         if self.task is not None and not self.task.done():
             self.state.cancelled += 1
             self.task.cancel()
 
     def data_received(self, data):
-        """Start a request once its body is there."""
+        """Start handling a request once its body is complete."""
         self.buffer += data
-        head, mark, body = self.buffer.partition(b'\r\n\r\n')
-        if not mark:
+        head, separator, body = self.buffer.partition(b'\r\n\r\n')
+        if not separator:
             return
         lines = head.decode('latin-1').split('\r\n')
         headers = [tuple(line.split(': ', 1)) for line in lines[1:]]
@@ -78,73 +78,78 @@
         )
 
     async def _answer(self, line: str, headers, body: bytes) -> None:
-        books = self.state
+        state = self.state
         request_id = transport.find_header(headers, 'x-request-id')
         if line.startswith('GET /health '):
             status = (
-                '503 Service Unavailable' if books.is_leaving else '200 OK'
+                '503 Service Unavailable' if state.is_leaving else '200 OK'
             )
-            own = [
-                ('X-Instance-Id', books.target),
-                ('X-Server-Load', books.load_field),
+            own_headers = [
+                ('X-Instance-Id', state.target),
+                ('X-Server-Load', state.load_field),
             ]
-            self._write(status, own, b'')
+            self._write(status, own_headers, b'')
             return
         expected = transport.find_header(headers, 'x-expect-instance')
-        if expected not in (None, books.target):
+        if expected not in (None, state.target):
             self._write('421 Misdirected Request', [], b'')
             return
-        if books.habit is TargetHabit.SHED:
+        if state.habit is TargetHabit.SHED:
             self._write(
                 '503 Service Unavailable', [('X-Not-Executed', '1')], b''
             )
             return
-        books.fields.append(headers)
-        books.note_run(request_id, line, dict(headers), body)
-        books.running += 1
-        books.most_running = max(books.most_running, books.running)
+        state.fields.append(headers)
+        state.note_run(request_id, line, dict(headers), body)
+        state.running += 1
+        state.most_running = max(state.most_running, state.running)
         try:
-            await asyncio.sleep(books.work_s)
+            await asyncio.sleep(state.work_s)
         finally:
-            books.running -= 1
-        if line.split()[1] in books.fatal_urls:
-            books.end()
+            state.running -= 1
+        if line.split()[1] in state.fatal_urls:
+            state.end()
             return
-        self._finish(request_id, books.habit)
+        self._finish(request_id, state.habit)
 
     def _finish(self, request_id: str, habit: TargetHabit) -> None:
-        own = [('X-Request-Id', request_id), ('X-Response-Signature', PROOF)]
+        own_headers = [
+            ('X-Request-Id', request_id),
+            ('X-Response-Signature', SIGNATURE),
+        ]
         body = f'answer to {request_id}'.encode().ljust(self.state.body_bytes)
         if habit is TargetHabit.RESET:
             self.transport.abort()
         elif habit is TargetHabit.ENCODED:
-            self._write('200 OK', [*own, ('Content-Encoding', 'gzip')], body)
-        elif habit is TargetHabit.NO_PROOF:
-            self._write('200 OK', own[:1], body)
-        elif habit is TargetHabit.FOREIGN:
-            foreign = [('X-Request-Id', 'other'), own[1]]
-            self._write('200 OK', foreign, b'another body')
-            self._write('200 OK', own, body)
-        elif habit is TargetHabit.EXTRA:
-            self._write('200 OK', own, body)
-            self._write('200 OK', own, b'another body')
+            self._write(
+                '200 OK', [*own_headers, ('Content-Encoding', 'gzip')], body
+            )
+        elif habit is TargetHabit.UNSIGNED:
+            self._write('200 OK', own_headers[:1], body)
+        elif habit is TargetHabit.FOREIGN_RESPONSE_FIRST:
+            foreign_headers = [('X-Request-Id', 'other'), own_headers[1]]
+            self._write('200 OK', foreign_headers, b'another body')
+            self._write('200 OK', own_headers, body)
+        elif habit is TargetHabit.EXTRA_RESPONSE_AFTER:
+            self._write('200 OK', own_headers, body)
+            self._write('200 OK', own_headers, b'another body')
         elif habit is TargetHabit.UNFRAMED:
-            self._write('200 OK', own, body, is_framed=False)
+            self._write('200 OK', own_headers, body, is_framed=False)
             self.transport.close()
         elif habit is TargetHabit.UNFRAMED_RESET:
-            self._write('200 OK', own, body, is_framed=False)
-            # The daemon has read what was sent before the reset comes.
-            asyncio.get_running_loop().call_later(RESET_AFTER_S, self._reset)
-        elif habit is TargetHabit.CUT_SHORT:
-            self._write('200 OK', own, body, missing=3)
+            self._write('200 OK', own_headers, body, is_framed=False)
+            # The delay lets the daemon read the response before the reset.
+            asyncio.get_running_loop().call_later(RESET_DELAY_S, self._reset)
+        elif habit is TargetHabit.TRUNCATED:
+            self._write('200 OK', own_headers, body, missing=3)
             self.transport.close()
         elif habit is TargetHabit.FAILING:
-            self._write('500 Internal Server Error', own, body)
+            self._write('500 Internal Server Error', own_headers, body)
         else:
-            self._write('200 OK', own, body)
+            self._write('200 OK', own_headers, body)
 
     def _reset(self) -> None:
-        """Close without the end of the stream (SO_LINGER of 0 s)."""
+        """Close with a TCP reset (SO_LINGER of 0 s) instead of a FIN."""
         sock = self.transport.get_extra_info('socket')
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.transport.abort()
@@ -159,24 +164,24 @@
 
 
 class TargetBooks:
-    """What a target did, and how it is to behave.
+    """Recorded requests and configured behaviour of a target.
 
     Parameters
     ----------
     target : str
-        Id of its lifetime.
+        Id of the current lifetime of the target.
     """
 
     def __init__(self, target: str):
         self.target = target
         self.habit = TargetHabit.SOUND
-        #: What it tells of its load.
+        #: Load report that it sends in `X-Server-Load`.
         self.load_field = '0,0,2'
         self.work_s = 0.0
-        #: Least size of answers, which are filled up with spaces.
+        #: Minimum size of response bodies, which are padded with spaces.
         self.body_bytes = 0
         self.runs: list[tuple] = []
-        #: Fields of each run as they came, doubled ones too.
+        #: Header fields of each executed request as received, with duplicates.
         self.fields: list[list[tuple[str, str]]] = []
         self.running = 0
         self.most_running = 0
@@ -184,18 +189,18 @@
         self.connections = 0
         self.is_leaving = False
         self.open_connections: set[TargetStandin] = set()
-        #: Requests under which the target ends, after the time of its work.
+        #: URLs whose requests crash the target after its processing time.
         self.fatal_urls: set[str] = set()
-        #: Ends the target, as a crash would.
+        #: Crashes the target.
         self.end: Callable[[], None] = self.reset_connections
 
     def reset_connections(self) -> None:
-        """Reset all connections, as the end of a process does."""
+        """Reset all connections, as the crash of a process does."""
         for connection in list(self.open_connections):
             connection.transport.abort()
 
     def note_run(
         self, request_id: str, line: str, headers: dict, body: bytes
     ) -> None:
-        """Note that a request began to run."""
+        """Record that the execution of a request has started."""
         self.runs.append((request_id, line, headers, body))
--- a/sedgering/testing/_naive.py
+++ b/sedgering/testing/_naive.py
@@ -1,4 +1,4 @@
-"""The naive version: every proxy polls the whole bundle from the source."""
+"""Baseline for comparison: each proxy polls the whole bundle itself."""
 
 import threading
 
@@ -11,21 +11,22 @@
 
 __all__ = ['NaivePoller', 'make_sample_bundle']
 
-#: Headers of a request and its answer on a connection that is kept.
-OVERHEAD_BYTES = 300
+#: Size of the headers of a request and its response on a persistent
+#: connection.
+HEADER_OVERHEAD_BYTES = 300
 
 
 class NaivePoller:
-    """Polls head and whole bundle at a fixed interval.
+    """Polls the head record and the whole bundle at a fixed interval.
 
     Parameters
     ----------
     store : GuardedStore
-        The source.
+        Store that holds the head record and the bundle.
     interval_s : float
-        Time between two polls.
+        Delay between two polls, in seconds.
     offset_s : float
-        Wait before the first poll.
+        Delay before the first poll, in seconds.
     """
 
     def __init__(self, store, interval_s: float, offset_s: float):
@@ -40,11 +41,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Poll in the background."""
+        """Start polling in the background."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the poll under way."""
+        """Stop after the current poll and wait for the thread."""
         self._is_stopped.set()
         self._thread.join(30)
 
@@ -60,13 +61,13 @@
     def _poll(self) -> None:
         self.polls += 1
         (row,) = self.store.read([release.HEAD_KEY])
-        self.received_bytes += len(row.value) + OVERHEAD_BYTES
+        self.received_bytes += len(row.value) + HEADER_OVERHEAD_BYTES
         head = release.decode_record(row, release.HeadRecord)
         if head is None or not head.version:
             return
         digest = base.Digest(head.digest)
         body = self.store.get_object(digest)
-        self.received_bytes += len(body) + OVERHEAD_BYTES
+        self.received_bytes += len(body) + HEADER_OVERHEAD_BYTES
         bundles.check_bundle(bundles.decode_bundle(body, digest))
         now_ms = clock.monotonic_ms()
         self.applied_at_ms.setdefault(head.version, now_ms)
@@ -75,16 +76,17 @@
 def make_sample_bundle(
     mesh: str, services: int, changed: int = 0
 ) -> bundles.Bundle:
-    """Make a bundle of a size, for measurements.
+    """Make a bundle of a given size, for measurements.
 
     Parameters
     ----------
     mesh : str
         Mesh of the bundle.
     services : int
-        Target sets; each has two routes.
+        Number of target sets; each has two routes.
     changed : int
-        Number of the change: one route differs from the bundle before.
+        Number of the change.  It selects the one route whose weight is not
+        1, so that bundles of successive numbers differ.
     """
     policies = (
         bundles.Policy('read', attempts=3),
--- a/sedgering/testing/_passthrough.py
+++ b/sedgering/testing/_passthrough.py
@@ -1,4 +1,4 @@
-"""The naive proxy: one attempt, round robin, no decisions."""
+"""Baseline proxy: round robin with one attempt per request."""
 
 import itertools
 
@@ -9,16 +9,18 @@
 
 THREADS = 16
 TIMEOUT_S = 10.0
-SKIPPED = frozenset(('connection', 'transfer-encoding', 'keep-alive'))
+HOP_BY_HOP_HEADERS = frozenset(
+    ('connection', 'transfer-encoding', 'keep-alive')
+)
 
 
-class _Application:
-    """A WSGI application that passes every request on.
+class _ForwardingApplication:
+    """A WSGI application that forwards every request.
 
     Parameters
     ----------
     addresses : list of (str, int)
-        Targets, taken in turn.
+        Addresses and ports of the targets, used in round-robin order.
     """
 
     def __init__(self, addresses):
@@ -32,7 +34,7 @@
         )
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Forward one request and return its response."""
         length = int(environ.get('CONTENT_LENGTH') or 0)
         headers = {
             name[5:].replace('_', '-'): value
@@ -50,21 +52,23 @@
         except urllib3.exceptions.HTTPError:
             start_response('502 Bad Gateway', [('Content-Length', '0')])
             return [b'']
-        out = [
+        response_headers = [
             (name, value)
             for name, value in response.headers.items()
-            if name.lower() not in SKIPPED
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
-        start_response(f'{response.status} {response.reason}', out)
+        start_response(
+            f'{response.status} {response.reason}', response_headers
+        )
         return [response.data]
 
 
 def make_passthrough(
     address: str, port: int, targets: list[tuple[str, int]]
 ) -> wsgi.Server:
-    """Make the naive proxy; its owner calls start and stop."""
+    """Make the baseline proxy; the caller starts and stops it."""
     server = wsgi.Server(
-        (address, port), _Application(targets), numthreads=THREADS
+        (address, port), _ForwardingApplication(targets), numthreads=THREADS
     )
     server.request_queue_size = 256
     return server
--- a/sedgering/testing/_platform_calls.py
+++ b/sedgering/testing/_platform_calls.py
@@ -1,4 +1,4 @@
-"""What the platform and targets send to daemons, in the platform's names."""
+"""Reports, store writes and settings in the formats of the platform."""
 
 import base64
 import json
@@ -7,7 +7,7 @@
 
 __all__ = ['encode_write', 'make_daemon_settings', 'make_report']
 
-#: As the users' sites have them.
+#: Time bounds and retry budget as configured in production.
 BOUNDS = (
     'apply=2000ms',
     'grace=6s',
@@ -27,20 +27,20 @@
     born_ms: int = 0,
     version: str = 'v1',
 ) -> transport.Request:
-    """Make what a target tells the daemon beside it.
+    """Make the report of a target to the daemon on its host.
 
     Parameters
     ----------
     target : str
-        Id of the lifetime of the target.
+        Id of the current lifetime of the target.
     verb : str
         `heartbeat` or `deregister`.
     target_set, state, sequence, slots
-        What is told.
+        Contents of the heartbeat.
     born_ms : int
-        Start of the lifetime; 0 for a target that does not tell it.
+        Start of the lifetime; 0 if the target does not report it.
     version : str
-        Of its software.
+        Software version of the target.
     """
     body = {'born': born_ms} if born_ms else {}
     if verb == 'heartbeat':
@@ -64,7 +64,7 @@
 
 
 def encode_write(table: str, key: str, value: bytes) -> tuple[str, bytes]:
-    """Return path and body of the call that writes one row of the store."""
+    """Return the path and body of the call that writes one store row."""
     row = {
         'table': table,
         'part': '',
@@ -88,12 +88,12 @@
     Parameters
     ----------
     host, data_centre, target_set, address
-        Of the daemon.
+        Identity and address of the daemon.
     ports : dict
-        `callers`, `readiness`, `reports`, `peers`, `target` and `store`,
-        all at the address of the host.
+        Ports `callers`, `readiness`, `reports`, `peers`, `target` and
+        `store`, all on the address of the host.
     link_mbps : float
-        Width of its link.
+        Capacity of the link of the host.
     """
     fields = {
         'node': host,
--- a/sedgering/testing/_replay.py
+++ b/sedgering/testing/_replay.py
@@ -1,4 +1,4 @@
-"""Replays a trace over the real systems, and checks stated outcomes."""
+"""Replays a trace on the real systems and checks expected outcomes."""
 
 import functools
 import pathlib
@@ -20,33 +20,33 @@
 
 
 class OutcomeDiffers(Exception):
-    """A stated outcome did not come about."""
+    """The outcome of a step differs from the expected one."""
 
 
 class Replay:
-    """One run of a trace.
+    """One replay of a trace.
 
-    After each step no host may have gone back, and no host may serve
-    under a version that an earlier process of it served.
+    After each step no host may have returned to an older version, and no
+    host may serve a version older than one that it served before a restart.
     """
 
     def __init__(self):
         self.calls = 0
-        self.engine = _engine.PlatformEngine(now_s=self._count)
+        self.engine = _engine.PlatformEngine(now_s=self._advance_clock)
         self.store = _engine.InMemoryPlatform(self.engine)
         self.exchange: _exchange.Exchange | None = None
-        self.contents = 0
+        self.signed_off_count = 0
         self.claims: dict[str, traffic.Claim] = {}
         self.served: dict[str, int] = {}
 
     @property
     def nodes(self) -> dict[str, _exchange.Node]:
-        """Hosts that run, by name."""
+        """Running hosts by name."""
         return {node.name: node for node in self.exchange.nodes.values()}
 
     @functools.singledispatchmethod
     def apply(self, step: _trace.Step) -> None:
-        """Carry one step out."""
+        """Execute one step."""
         raise NotImplementedError(type(step))
 
     @apply.register
@@ -120,12 +120,12 @@
             self.nodes[host].is_paused = True
 
     @apply.register
-    def _(self, step: _trace.Wake) -> None:
+    def _(self, step: _trace.Resume) -> None:
         for host in step.hosts:
             self.nodes[host].is_paused = False
 
     @apply.register
-    def _(self, step: _trace.Cut) -> None:
+    def _(self, step: _trace.Partition) -> None:
         self.exchange.cut = {frozenset(pair) for pair in step.pairs}
         self.exchange.cut_platform = set(step.platform)
 
@@ -136,7 +136,7 @@
         self.exchange.delay_ticks = step.delay_ticks
 
     @apply.register
-    def _(self, step: _trace.DamageContents) -> None:
+    def _(self, step: _trace.CorruptContents) -> None:
         self.exchange.damage_contents = step.count
 
     @apply.register
@@ -150,7 +150,7 @@
         self._compare('code', int(result.code or 0), step.code)
 
     @apply.register
-    def _(self, step: _trace.LetGo) -> None:
+    def _(self, step: _trace.ReleaseClaim) -> None:
         outcome = traffic.change_claim(
             self.claims[step.key], traffic.ClaimState.NOT_RUN
         )
@@ -167,7 +167,7 @@
         self._wait_for(
             lambda: all(
                 node.version == step.version
-                for node in self._choose(step.hosts)
+                for node in self._select_nodes(step.hosts)
             ),
             step.within_s,
             f'version {step.version}',
@@ -175,7 +175,7 @@
 
     @apply.register
     def _(self, step: _trace.ExpectNotServing) -> None:
-        for node in self._choose(step.hosts):
+        for node in self._select_nodes(step.hosts):
             self._compare(f'{node.name} serves', node.is_serving, False)
 
     @apply.register
@@ -183,7 +183,7 @@
         self._wait_for(
             lambda: all(
                 node.is_serving and node.version >= step.version
-                for node in self._choose(step.hosts)
+                for node in self._select_nodes(step.hosts)
             ),
             step.within_s,
             f'serving version {step.version}',
@@ -191,27 +191,29 @@
 
     @apply.register
     def _(self, step: _trace.ExpectProgress) -> None:
-        def says_so() -> bool:
+        def is_reached() -> bool:
             progress = release.read_progress(self.store)
             found = (progress.holding, progress.members)
             is_complete = release.check_complete(progress, progress.version)
             return is_complete and found == (step.holding, step.members)
 
         self._wait_for(
-            says_so, step.within_s, f'{step.holding} of {step.members}'
+            is_reached, step.within_s, f'{step.holding} of {step.members}'
         )
 
     def check(self) -> None:
-        """Check what must hold at all times.
+        """Check the invariants that hold at all times.
 
         Raises
         ------
         OutcomeDiffers
-            When a host went back.
+            When a host returned to an older version.
         """
         for name, node in self.nodes.items():
             if node.versions != sorted(node.versions):
-                raise OutcomeDiffers(f'{name} went back: {node.versions}')
+                raise OutcomeDiffers(
+                    f'{name} returned to an older version: {node.versions}'
+                )
             if not node.is_serving:
                 continue
             before = self.served.get(name, 0)
@@ -221,8 +223,8 @@
                 )
             self.served[name] = node.version
 
-    def _count(self) -> int:
-        # Calls are spread out, so that budgets never run out.
+    def _advance_clock(self) -> int:
+        # Each call is one second apart, so that no rate limit is exceeded.
         self.calls += 1
         return self.calls
 
@@ -232,44 +234,45 @@
         )
 
     def _sign_off(self, operator: str) -> None:
-        self.contents += 1
+        self.signed_off_count += 1
         content = bundles.make_bundle(
-            MESH, policies=(bundles.Policy('p', timeout_ms=self.contents),)
+            MESH,
+            policies=(bundles.Policy('p', timeout_ms=self.signed_off_count),),
         )
         self._client().sign_off(content, operator, release.make_operation_id())
 
-    def _choose(self, hosts: list[str]) -> list[_exchange.Node]:
+    def _select_nodes(self, hosts: list[str]) -> list[_exchange.Node]:
         nodes = self.nodes
         return [nodes[host] for host in hosts] or list(nodes.values())
 
     def _expect_code(self, code: int, action) -> None:
-        told = 0
+        found = 0
         try:
             action()
         except exceptions.SedgeringError as error:
-            told = int(error.code)
-        self._compare('code', told, code)
+            found = int(error.code)
+        self._compare('code', found, code)
 
-    def _compare(self, what: str, found, stated) -> None:
-        if found != stated:
-            raise OutcomeDiffers(f'{what}: {found}, stated {stated}')
+    def _compare(self, what: str, found, expected) -> None:
+        if found != expected:
+            raise OutcomeDiffers(f'{what}: {found}, expected {expected}')
 
     def _wait_for(self, condition, within_s: float, what: str) -> None:
         deadline_ms = self.exchange.now_ms + within_s * 1000
         while not condition():
             if self.exchange.now_ms > deadline_ms:
-                raise OutcomeDiffers(f'not within {within_s} s: {what}')
+                raise OutcomeDiffers(f'not met within {within_s} s: {what}')
             self.exchange.step()
             self.check()
 
 
 def replay_trace(path: pathlib.Path) -> int:
-    """Replay a trace and return the number of its steps.
+    """Replay a trace and return its number of steps.
 
     Raises
     ------
     OutcomeDiffers
-        With the number of the step whose outcome differs.
+        With the number and name of the step whose outcome differs.
     SettingsError
         When the trace cannot be read.
     """
--- a/sedgering/testing/_store_server.py
+++ b/sedgering/testing/_store_server.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, as its protocol is published, in memory."""
+"""In-memory metadata store that serves the platform's published protocol."""
 
 import asyncio
 import base64
@@ -17,25 +17,25 @@
 
 __all__ = ['StoreServer', 'StoreService']
 
-#: Rows returned by one read.
+#: Maximum number of rows in the response to one read.
 PAGE_ROWS = 500
-#: Longer than any test.
-FOREVER_S = 3600
-_STATUS = {
+#: Delay of responses in the mode `SILENT`; longer than any test.
+SILENT_DELAY_S = 3600
+_STATUS_BY_CODE = {
     exceptions.Code.PLATFORM_DOWN: 503,
     exceptions.Code.PLATFORM_BUSY: 429,
     exceptions.Code.PLATFORM_HISTORY: 410,
 }
 _GET_PREFIX = '/v1/blob-get/'
 _PUT_PREFIX = '/v1/blob-put/'
-#: Calls that drive the stand-in itself; no fault touches them.
+#: Calls that control the stand-in itself; faults do not affect them.
 _CONTROL_PREFIX = '/standin/'
 
 _Response = transport.Response
 
 
 class StoreService(transport.Service):
-    """Answers the calls of the store.
+    """Handles the calls to the store.
 
     Parameters
     ----------
@@ -48,34 +48,36 @@
         self.engine = engine
         self._loop = asyncio.get_running_loop()
         self._changed = asyncio.Event()
-        engine.listeners.append(self._note_change)
+        engine.listeners.append(self._notify_change)
 
     def find_limits(self) -> transport.CallerLimits:
-        """Return the usual limits."""
+        """Return the default limits."""
         return transport.CallerLimits()
 
     async def answer(self, request: transport.Request) -> _Response | None:
-        """Answer one call; None cuts the connection."""
+        """Handle one call; None closes the connection without a response."""
         path, _mark, query = request.url.partition('?')
         if path.startswith(_CONTROL_PREFIX):
-            return self._control(path, request.body)
+            return self._handle_control(path, request.body)
         faults = self.engine.faults
         await asyncio.sleep(faults.slow_ms / 1000)
         if faults.mode is _engine.StoreMode.SILENT:
-            await asyncio.sleep(FOREVER_S)
+            await asyncio.sleep(SILENT_DELAY_S)
         if faults.mode is _engine.StoreMode.RESET:
             return None
         fields = dict(urllib.parse.parse_qsl(query))
         try:
-            response = await self._answer(path, fields, request)
-        except _engine.AnswerLost:
+            response = await self._handle(path, fields, request)
+        except _engine.ResponseLost:
             return None
         except exceptions.PlatformError as error:
-            response = transport.make_json_response(_STATUS[error.code], {})
+            response = transport.make_json_response(
+                _STATUS_BY_CODE[error.code], {}
+            )
         self.engine.stats.bytes_out += len(response.body)
         return response
 
-    async def _answer(
+    async def _handle(
         self, path: str, fields: dict[str, str], request: transport.Request
     ) -> _Response:
         if path == '/v1/rows-get':
@@ -97,7 +99,9 @@
             fields['table'], fields.get('from', ''), fields.get('to', '')
         )
         limit = min(PAGE_ROWS, int(fields.get('limit', PAGE_ROWS)))
-        return self._respond(rows[:limit], has_more=len(rows) > limit)
+        return self._make_rows_response(
+            rows[:limit], has_more=len(rows) > limit
+        )
 
     async def _watch(self, fields: dict[str, str]) -> _Response:
         table, after = fields['table'], int(fields['after'])
@@ -107,13 +111,13 @@
                 while not self.engine.find_changes(table, after):
                     await self._changed.wait()
         except TimeoutError:
-            return self._respond(())
-        return self._respond(self.engine.find_changes(table, after))
+            return self._make_rows_response(())
+        return self._make_rows_response(self.engine.find_changes(table, after))
 
     async def _transact(self, body: dict) -> _Response:
         faults = self.engine.faults
-        is_late = faults.mode is _engine.StoreMode.LATE
-        if is_late:
+        is_delayed = faults.mode is _engine.StoreMode.LATE
+        if is_delayed:
             await asyncio.sleep(faults.late_ms / 1000)
         conditions = _decode_entries(body['precondition'])
         is_met = self.engine.apply(
@@ -121,15 +125,17 @@
             _decode_entries(body['puts']),
             _decode_entries(body['remove']),
         )
-        if is_late:
-            raise _engine.AnswerLost
+        if is_delayed:
+            raise _engine.ResponseLost
         if is_met:
-            return self._respond(())
+            return self._make_rows_response(())
         present = [
             self.engine.read((entry.key,), entry.table)[0]
             for entry in conditions
         ]
-        return self._respond([row for row in present if row.revision], 412)
+        return self._make_rows_response(
+            [row for row in present if row.revision], 412
+        )
 
     def _get_object(self, name: str) -> _Response:
         body = self.engine.get_object(name)
@@ -137,13 +143,13 @@
             return transport.make_json_response(404, {})
         return transport.Response(200, [], body)
 
-    def _control(self, path: str, body: bytes) -> _Response:
+    def _handle_control(self, path: str, body: bytes) -> _Response:
         if path == '/standin/faults':
             self.engine.faults = msgspec.json.decode(body, type=_engine.Faults)
         stats = msgspec.to_builtins(self.engine.stats)
         return transport.make_json_response(200, stats)
 
-    def _respond(
+    def _make_rows_response(
         self, rows, status: int = 200, has_more: bool = False
     ) -> _Response:
         body = {
@@ -154,7 +160,7 @@
         }
         return transport.make_json_response(status, body)
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         self._loop.call_soon_threadsafe(self._wake_watches)
 
     def _wake_watches(self) -> None:
@@ -183,12 +189,12 @@
 
 
 class StoreServer:
-    """The store in a thread with an event loop of its own.
+    """Runs the store in a separate thread with its own event loop.
 
     Parameters
     ----------
     address, port
-        Where to listen.
+        Address and port to listen on.
     engine : PlatformEngine
         Rows, objects and faults.
     """
@@ -203,12 +209,12 @@
         self._server: asyncio.AbstractServer | None = None
 
     def start(self) -> None:
-        """Listen."""
+        """Start the thread and listen."""
         self._thread.start()
         self._run(self._listen())
 
     def stop(self) -> None:
-        """End at once, with all connections."""
+        """Stop immediately and abort all connections."""
         if self._loop.is_closed():
             return
         self._run(self._close())
--- a/sedgering/testing/_targets.py
+++ b/sedgering/testing/_targets.py
@@ -1,4 +1,4 @@
-"""Targets that keep a ledger of what they ran."""
+"""Target stand-ins that log which requests they executed."""
 
 import collections
 import ipaddress
@@ -18,11 +18,11 @@
 
 LOG = logging.getLogger(__name__)
 
-ANNOUNCE_INTERVAL_S = 1.0
-ANNOUNCE_TIMEOUT_S = 1.0
+REPORT_INTERVAL_S = 1.0
+REPORT_TIMEOUT_S = 1.0
 LEDGER_PATH = '/standin/ledger'
 COUNTS_PATH = '/standin/counts'
-LIE_FACTOR = 5
+SLOWDOWN_FACTOR = 5
 
 
 class TargetSettings(msgspec.Struct, frozen=True):
@@ -31,21 +31,21 @@
     Parameters
     ----------
     name, target_set : str
-        What it announces.
+        Name and target set that the target reports.
     address, port
-        Where it listens.
+        Address and port to listen on.
     admin_port : int
-        Admin port of the proxy of its host, on the same address.
+        Admin port of the proxy on the same host, at the same address.
     slots : int
-        Requests that it works on at a time.
+        Maximum number of concurrent requests.
     work_ms : int
-        Time that each request takes.
+        Processing time of each request, in milliseconds.
     lies : bool
-        Whether it reports that it is idle, always, and takes five times
-        as long as it should.
+        Whether the target always reports that it is idle, and takes five
+        times `work_ms` for each request.
     ledger_file : str
-        File to which each run is appended, so that it outlives the
-        process; empty for none.
+        File to which the id of each executed request is appended, so that
+        the log outlives the process; empty for none.
     """
 
     name: str
@@ -60,10 +60,10 @@
 
 
 class _Gateway(cheroot_server.Gateway):
-    """Runs one request and writes it down."""
+    """Executes one request and logs it."""
 
     def respond(self):
-        """Answer with who ran what."""
+        """Respond with the name of the target and of the request."""
         target: StandinTarget = self.req.server.target
         path = self.req.uri.decode('ascii')
         if path == LEDGER_PATH:
@@ -73,24 +73,24 @@
             _http.send_json(self.req, b'200 OK', target.counts)
             return
         if not target.slots.acquire(blocking=False):
-            self._refuse(target)
+            self._reject(target)
             return
         try:
-            self._run(target)
+            self._execute(target)
         finally:
             target.slots.release()
 
-    def _run(self, target) -> None:
+    def _execute(self, target) -> None:
         body_sha256 = _http.digest_body(self.req)
         name = self.req.inheaders.get(b'X-Request-Id', b'').decode()
         work_ms = target.settings.work_ms
         in_use = target.settings.slots - target.slots._value
         if target.settings.lies:
-            work_ms *= LIE_FACTOR
+            work_ms *= SLOWDOWN_FACTOR
             in_use = 0
         time.sleep(work_ms / 1000)
         with target.lock:
-            target.write_down(name)
+            target.log_execution(name)
         answer = {
             'target': target.settings.name,
             'request': name,
@@ -100,7 +100,7 @@
         self.req.outheaders.append((b'X-Target-Load', str(in_use).encode()))
         _http.send_json(self.req, b'200 OK', answer)
 
-    def _refuse(self, target) -> None:
+    def _reject(self, target) -> None:
         with target.lock:
             target.counts['refused'] += 1
         marker = (traffic.NOT_RUN_HEADER.encode(), b'1')
@@ -111,14 +111,14 @@
 
 
 class StandinTarget:
-    """One target with slots and a ledger.
+    """One target with a limited number of slots and an execution log.
 
     Parameters
     ----------
     target_settings : TargetSettings
-        What it is.
+        Settings of the target.
     server : HTTPServer
-        Listens for proxies.
+        Server that accepts the requests of proxies.
     """
 
     def __init__(self, target_settings, server):
@@ -133,18 +133,18 @@
         self.draining_at_s = 0.0
         self._ledger_file = None
         if target_settings.ledger_file:
-            # Line by line: what ran must stand there before the answer.
+            # Line buffered: a request must be logged before its response.
             self._ledger_file = open(target_settings.ledger_file, 'a', 1)
         self._is_stopped = threading.Event()
         self._pool = urllib3.HTTPConnectionPool(
             str(target_settings.address),
             target_settings.admin_port,
-            timeout=ANNOUNCE_TIMEOUT_S,
+            timeout=REPORT_TIMEOUT_S,
             retries=False,
         )
 
-    def write_down(self, name: str) -> None:
-        """Write a run down; called with the lock held."""
+    def log_execution(self, name: str) -> None:
+        """Log an executed request; the caller holds the lock."""
         self.ledger[name] += 1
         self.counts['run'] += 1
         if self.draining_at_s:
@@ -154,13 +154,13 @@
             self._ledger_file.write(f'{name}\n')
 
     def start(self) -> None:
-        """Serve and announce in the background."""
+        """Serve requests and send reports in the background."""
         self.server.prepare()
-        for work in (self.server.serve, self._keep_announcing):
+        for work in (self.server.serve, self._report_periodically):
             threading.Thread(target=work, daemon=True).start()
 
     def leave(self, grace_s: float) -> None:
-        """Say that it is leaving, go on for a while, then stop."""
+        """Report draining, keep serving for the grace period, then stop."""
         self.draining_at_s = time.monotonic()
         self.is_draining = True
         self.announce('draining')
@@ -171,7 +171,7 @@
         self.server.stop()
 
     def announce(self, state: str) -> None:
-        """Report to the proxy of the host; it may not be up yet."""
+        """Report the state to the proxy of the host, which may not run yet."""
         report = membership.TargetReport(
             name=self.settings.name,
             target_set=self.settings.target_set,
@@ -184,17 +184,17 @@
                 'POST', '/targets', body=msgspec.json.encode(report)
             )
         except urllib3.exceptions.HTTPError as error:
-            LOG.debug('announce: %s', error)
+            LOG.debug('target report failed: %s', error)
 
-    def _keep_announcing(self) -> None:
+    def _report_periodically(self) -> None:
         while not self._is_stopped.is_set():
             if not self.is_draining:
                 self.announce('serving')
-            self._is_stopped.wait(ANNOUNCE_INTERVAL_S)
+            self._is_stopped.wait(REPORT_INTERVAL_S)
 
 
 def make_target(target_settings: TargetSettings) -> StandinTarget:
-    """Make a target stand-in; its owner starts it."""
+    """Make a target stand-in; the caller starts it."""
     server = cheroot_server.HTTPServer(
         (str(target_settings.address), target_settings.port),
         _Gateway,
--- a/sedgering/testing/_trace.py
+++ b/sedgering/testing/_trace.py
@@ -1,7 +1,7 @@
-"""Steps of a recorded trace: what happened, and what must follow.
+"""Steps of a recorded trace: events and their expected outcomes.
 
-A trace is a file of JSON lines, each one step.  Time passes only by
-``wait`` and by steps that wait for their outcome.
+A trace is a file of JSON lines with one step per line.  Time advances only
+in ``wait`` and in steps that wait for their outcome.
 """
 
 import pathlib
@@ -16,18 +16,18 @@
 class _Step(
     msgspec.Struct, frozen=True, tag_field='do', forbid_unknown_fields=True
 ):
-    """Any step."""
+    """Base class of all steps."""
 
 
 class Start(_Step, tag='start'):
-    """Start proxies that hold version 1; always the first step.
+    """Start proxies that hold version 1; must be the first step.
 
     Parameters
     ----------
     data_centres : dict of str to int
-        Number of proxies in each.
+        Number of proxies in each data centre.
     seed : int
-        Of all random choices.
+        Seed of all random choices.
     """
 
     data_centres: dict[str, int]
@@ -35,14 +35,14 @@
 
 
 class SignOff(_Step, tag='sign-off'):
-    """Sign off the next content; `code` is what the operator is told."""
+    """Sign off the next content; `code` is the expected error code or 0."""
 
     operator: str = 'anna'
     code: int = 0
 
 
 class Roll(_Step, tag='roll'):
-    """Roll a version; `code` is what the operator is told."""
+    """Roll a version; `code` is the expected error code or 0."""
 
     version: int
     operator: str = 'anna'
@@ -50,7 +50,7 @@
 
 
 class Platform(_Step, tag='platform'):
-    """Faults of the platform from now on; none given, none left."""
+    """Replace the injected platform faults; no fields clear them."""
 
     down: bool = False
     lose_answers: int = 0
@@ -58,40 +58,41 @@
 
 
 class DeliverDelayed(_Step, tag='deliver-delayed'):
-    """Writes that were held up arrive."""
+    """Deliver the delayed writes to the platform."""
 
 
 class Kill(_Step, tag='kill'):
-    """End hosts without a word."""
+    """Crash hosts."""
 
     hosts: list[str]
 
 
 class Restart(_Step, tag='restart'):
-    """End hosts, and start them with nothing remembered."""
+    """Crash hosts and restart them without any retained state."""
 
     hosts: list[str]
 
 
 class Pause(_Step, tag='pause'):
-    """Stop hosts where they are."""
+    """Suspend hosts."""
 
     hosts: list[str]
 
 
-class Wake(_Step, tag='wake'):
-    """Let hosts that were stopped go on."""
+class Resume(_Step, tag='wake'):
+    """Resume suspended hosts."""
 
     hosts: list[str]
 
 
-class Cut(_Step, tag='cut'):
-    """Pairs of data centres, or single hosts, that cannot talk from now on.
+class Partition(_Step, tag='cut'):
+    """Replace the network partitions.
 
     Parameters
     ----------
     pairs : list of list of str
-        None given, none left.
+        Pairs of data centres that cannot communicate, or lists of one host
+        that is isolated; empty for none.
     platform : list of str
         Data centres and hosts that cannot reach the platform.
     """
@@ -101,40 +102,40 @@
 
 
 class Network(_Step, tag='network'):
-    """Loss, duplication and delay of messages from now on."""
+    """Set the loss, duplication and delay of messages."""
 
     loss: float = 0.0
     duplication: float = 0.0
     delay_ticks: int = 1
 
 
-class DamageContents(_Step, tag='damage-contents'):
-    """So many contents to come arrive damaged."""
+class CorruptContents(_Step, tag='damage-contents'):
+    """Corrupt the given number of following contents."""
 
     count: int
 
 
 class Claim(_Step, tag='claim'):
-    """A proxy claims an idempotency key; `code` is what it learns."""
+    """Claim an idempotency key; `code` is the expected error code or 0."""
 
     key: str
     code: int = 0
 
 
-class LetGo(_Step, tag='let-go'):
-    """Whoever claimed the key last proves that nothing ran."""
+class ReleaseClaim(_Step, tag='let-go'):
+    """Release the last claim of a key, as its request was not executed."""
 
     key: str
 
 
 class Wait(_Step, tag='wait'):
-    """Let time pass."""
+    """Advance the simulated time."""
 
     seconds: float
 
 
 class ExpectHeld(_Step, tag='expect-held'):
-    """Hosts hold a version within a time; all hosts if none is named."""
+    """Expect hosts to hold a version in time; all hosts if none is named."""
 
     version: int
     within_s: float
@@ -142,13 +143,13 @@
 
 
 class ExpectNotServing(_Step, tag='expect-not-serving'):
-    """Hosts take no requests now."""
+    """Expect hosts to accept no requests now."""
 
     hosts: list[str]
 
 
 class ExpectServing(_Step, tag='expect-serving'):
-    """Hosts take requests within a time, at a version or a greater one."""
+    """Expect hosts to accept requests in time, at this version or later."""
 
     version: int
     within_s: float
@@ -156,7 +157,7 @@
 
 
 class ExpectProgress(_Step, tag='expect-progress'):
-    """The progress rows say so within a time."""
+    """Expect the progress rows to report these counts in time."""
 
     holding: int
     members: int
@@ -172,12 +173,12 @@
     | Kill
     | Restart
     | Pause
-    | Wake
-    | Cut
+    | Resume
+    | Partition
     | Network
-    | DamageContents
+    | CorruptContents
     | Claim
-    | LetGo
+    | ReleaseClaim
     | Wait
     | ExpectHeld
     | ExpectNotServing
@@ -187,12 +188,13 @@
 
 
 def load_trace(path: pathlib.Path) -> tuple[Step, ...]:
-    """Read a trace.
+    """Read a trace from a file.
 
     Raises
     ------
     SettingsError
-        With the number of the line that is wrong.
+        With the number of the invalid line, or when the first step is not
+        `start`.
     """
     steps = []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
