--- a/sedgering/testing/_engine.py
+++ b/sedgering/testing/_engine.py
@@ -24,7 +24,7 @@
     'TableEntry',
 ]
 
-#: Rate limits of the real platform: several hundred writes and two thousand
+#: Rate limits from the requirements: several hundred writes and two thousand
 #: reads per second.
 WRITES_PER_S = 400
 READS_PER_S = 2000
@@ -62,9 +62,9 @@
     late_ms : int
         Delay of writes in the mode `LATE`.
     lose_answers : int
-        Number of following writes that take effect but get no response.
+        Number of subsequent writes that take effect but get no response.
     delay_writes : int
-        Number of following transactions that get no response.  They are
+        Number of subsequent transactions that get no response.  They are
         applied only by :meth:`PlatformEngine.deliver_delayed`, if at all.
     """
 
--- a/sedgering/testing/_mesh_fleet.py
+++ b/sedgering/testing/_mesh_fleet.py
@@ -146,7 +146,7 @@
     mesh_settings : MeshSettings
         Settings of all daemons.
     link_mbps : float
-        Capacity of the link of each host; 0 if it is unknown.
+        Capacity of the link of each host in Mbit/s; 0 if it is unknown.
     is_first_start : bool
         Whether all daemons are configured for the first start of the fleet.
     has_rollouts : bool
--- a/sedgering/testing/_platform_calls.py
+++ b/sedgering/testing/_platform_calls.py
@@ -93,7 +93,7 @@
         Ports `callers`, `readiness`, `reports`, `peers`, `target` and
         `store`, all on the address of the host.
     link_mbps : float
-        Capacity of the link of the host.
+        Capacity of the link of the host in Mbit/s.
     """
     fields = {
         'node': host,
--- a/sedgering/testing/_trace.py
+++ b/sedgering/testing/_trace.py
@@ -110,7 +110,7 @@
 
 
 class CorruptContents(_Step, tag='damage-contents'):
-    """Corrupt the given number of following contents."""
+    """Corrupt the given number of subsequent contents."""
 
     count: int
 
