--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -6,10 +6,10 @@
 
   Scenario Outline: Status of a request
     Given a request for which <events> is recorded
-    Then it is <standing>
+    Then it is <status>
 
     Examples:
-      | events                                      | standing    |
+      | events                                      | status      |
       | nothing                                     | sound       |
       | crash 1                                     | suspect     |
       | crash 1, trial 2                            | suspect     |
@@ -26,7 +26,7 @@
       | answer, crash 1, trial 2, trial 3           | quarantined |
 
     Examples: targets that crash together
-      | events                                      | standing    |
+      | events                                      | status      |
       | crash 1, crash 2, crash 3, crash 4, crash 5 | suspect     |
       | crash 1, crash 2, crash 3, trial 4          | suspect     |
       | crash 1, crash 2, trial 3, trial 4          | quarantined |
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -60,9 +60,9 @@
         elif kind == 'answer':
             self.table.clear(FINGERPRINT)
 
-    def find_standing(self) -> str:
+    def find_status(self) -> str:
         """Return the status of the request."""
-        return self.table.find_standing(FINGERPRINT).value
+        return self.table.find_status(FINGERPRINT).value
 
 
 def make_request(**fields) -> transport.Request:
@@ -96,10 +96,10 @@
         context.subject.record(event)
 
 
-@then('it is {standing:w}')
-def step_standing(context, standing):
-    assert context.subject.find_standing() == standing, (
-        context.subject.find_standing()
+@then('it is {status:w}')
+def step_status(context, status):
+    assert context.subject.find_status() == status, (
+        context.subject.find_status()
     )
 
 
@@ -127,7 +127,7 @@
             for crash in order:
                 subject.table.blame(FINGERPRINT, (crash,))
             subject.table.clear(FINGERPRINT, answered)
-        assert len({subject.find_standing() for subject in subjects}) == 1
+        assert len({subject.find_status() for subject in subjects}) == 1
         counted = [item for item in reported if item.crash not in answered]
         trials = {item.crash for item in counted if item.was_trial}
         others = {item.crash for item in counted} - trials
@@ -141,12 +141,12 @@
 @then('it may be tried after {wait_s:d} s')
 def step_wait(context, wait_s):
     subject = context.subject
-    assert subject.find_standing() == 'quarantined'
+    assert subject.find_status() == 'quarantined'
     found_s = subject.table.find_wait_s(FINGERPRINT)
     assert round(found_s) == wait_s, found_s
     before_s = subject.now_s
     subject.now_s += wait_s + 0.001
-    assert subject.find_standing() == 'suspect'
+    assert subject.find_status() == 'suspect'
     subject.now_s = before_s
 
 
@@ -169,10 +169,10 @@
         context.subject.table.blame(make_fingerprint(number), OTHER_CRASH)
 
 
-@then('{count:d} requests are known, and the first one is {standing}')
-def step_bounded(context, count, standing):
+@then('{count:d} requests are known, and the first one is {status}')
+def step_bounded(context, count, status):
     assert len(context.subject.table) == count, len(context.subject.table)
-    step_standing(context, standing)
+    step_status(context, status)
 
 
 @when('{count:d} crashes are recorded for it, each followed by an answer')
--- a/sedgering/mesh/__init__.py
+++ b/sedgering/mesh/__init__.py
@@ -16,8 +16,8 @@
 from sedgering.mesh._crash_records import CrashEvidence
 from sedgering.mesh._crash_records import CrashId
 from sedgering.mesh._crash_records import CrashRecord
+from sedgering.mesh._crashes import CrashStatus
 from sedgering.mesh._crashes import CrashTable
-from sedgering.mesh._crashes import Standing
 from sedgering.mesh._daemon import make_mesh_daemon
 from sedgering.mesh._daemon import MeshDaemon
 from sedgering.mesh._fleet import FleetTable
@@ -59,6 +59,7 @@
     'CrashEvidence',
     'CrashId',
     'CrashRecord',
+    'CrashStatus',
     'CrashTable',
     'FleetTable',
     'Gate',
@@ -77,12 +78,11 @@
     'RefusalReason',
     'RetryWindow',
     'RolloutStore',
-    'Standing',
     'TargetCall',
     'TargetReport',
     'TargetState',
-    'UNKNOWN_BORN_MS',
     'Ticket',
+    'UNKNOWN_BORN_MS',
     'WeightedTurns',
     'choose_member',
     'choose_near_first',
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -8,8 +8,8 @@
 from sedgering.mesh import _choice
 from sedgering.mesh import _messages
 from sedgering.mesh import _peers
+from sedgering.mesh import _request_status
 from sedgering.mesh import _search
-from sedgering.mesh import _standing
 from sedgering.mesh import _state
 
 __all__ = ['CallParameters', 'TargetChooser']
@@ -55,7 +55,7 @@
         Shared by all requests.
     call : CallParameters
         Properties of the request.
-    standing : KnownRequest
+    request_status : RequestStatus
         Crash evidence against the request.
     search : FreeSlotSearch
         Search for a target with a free slot.
@@ -65,12 +65,12 @@
         self,
         state: _state.RequestState,
         call: CallParameters,
-        standing: _standing.KnownRequest,
+        request_status: _request_status.RequestStatus,
         search: _search.FreeSlotSearch,
     ):
         self.state = state
         self.call = call
-        self.standing = standing
+        self.request_status = request_status
         self.search = search
         #: Hosts that refused because they had no free slot.
         self.busy_refusals = 0
@@ -100,14 +100,14 @@
 
     def choose(self) -> _peers.Peer | None:
         """Choose the target of the next attempt; None when there is none."""
-        if not self.asked_hosts and not self.standing.is_suspect:
+        if not self.asked_hosts and not self.request_status.is_suspect:
             peer = self._choose_exposed()
             if peer is not None:
                 return peer
         hops = len(self.asked_hosts) - self.uncounted_hops - self.busy_refusals
         if hops >= self.state.mesh_settings.hops_limit:
             return None
-        if self.standing.is_suspect:
+        if self.request_status.is_suspect:
             self.search.end(False)
             return self._choose_trial_target()
         if self.search.is_on:
@@ -148,7 +148,7 @@
         peer = _choice.choose_trial_place(
             self.state.fleet.by_set.get(self.call.target_set, ()),
             self.state.peers,
-            self.standing.fingerprint,
+            self.request_status.fingerprint,
             self._now_s,
         )
         is_tried = peer is not None and peer.row.host in self.tried
--- a/sedgering/mesh/_crashes.py
+++ b/sedgering/mesh/_crashes.py
@@ -28,7 +28,7 @@
 from sedgering.mesh import _messages
 from sedgering import transport
 
-__all__ = ['CrashTable', 'Standing']
+__all__ = ['CrashStatus', 'CrashTable']
 
 LOG = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
 UNKNOWN_CRASH = -1
 
 
-class Standing(enum.Enum):
+class CrashStatus(enum.Enum):
     """Whether a request may run."""
 
     #: No crash is known, or a target has answered the request since.
@@ -159,14 +159,14 @@
         fingerprint = self.make_fingerprint(request)
         return fingerprint if fingerprint in self._entries else None
 
-    def find_standing(self, fingerprint: base.Fingerprint) -> Standing:
+    def find_status(self, fingerprint: base.Fingerprint) -> CrashStatus:
         """Return whether a request may run."""
         entry = self._entries.get(fingerprint)
         if entry is None or not entry.crash_count:
-            return Standing.SOUND
+            return CrashStatus.SOUND
         if entry.crash_count < self.limit or self.now_s() >= entry.retry_s:
-            return Standing.SUSPECT
-        return Standing.QUARANTINED
+            return CrashStatus.SUSPECT
+        return CrashStatus.QUARANTINED
 
     def count_crashes(self, fingerprint: base.Fingerprint) -> int:
         """Return the number of crashes that count against a request."""
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -12,8 +12,8 @@
 from sedgering.mesh import _peers
 from sedgering.mesh import _progress
 from sedgering.mesh import _refusal
+from sedgering.mesh import _request_status
 from sedgering.mesh import _search
-from sedgering.mesh import _standing
 from sedgering.mesh import _state
 from sedgering import overload
 from sedgering import quota
@@ -104,7 +104,7 @@
         #: Identity of the caller; `NOBODY` when the bundle requires no keys.
         self.identity = access.NOBODY
         #: Crash evidence against the request; set once the caller is known.
-        self.standing: _standing.KnownRequest | None = None
+        self.request_status: _request_status.RequestStatus | None = None
         self.answered: _messages.CallAnswer | None = None
         self.answered_by = base.HostId('')
 
@@ -132,7 +132,7 @@
             self._identify(snapshot)
             if self.identity.code is not None:
                 return self._refuse(self.identity.code)
-        self.standing = _standing.KnownRequest(
+        self.request_status = _request_status.RequestStatus(
             self.request, self.state.crashes
         )
         self.target_set = self.state.turns.choose(self.route)
@@ -143,7 +143,7 @@
         if self.state.serving.would_cut_off(self.deadline_s):
             # The body arrived slowly, or the request was pipelined.
             return self._refuse(exceptions.Code.REQUEST_LEAVING)
-        if self.standing.is_quarantined:
+        if self.request_status.is_quarantined:
             return self._refuse(exceptions.Code.REQUEST_QUARANTINED)
         if not await self._take_token():
             return self._refuse(exceptions.Code.REQUEST_QUOTA)
@@ -184,7 +184,9 @@
         search = _search.FreeSlotSearch(
             self.state.search_stats, call.target_set, call.body_bytes
         )
-        return _chooser.TargetChooser(self.state, call, self.standing, search)
+        return _chooser.TargetChooser(
+            self.state, call, self.request_status, search
+        )
 
     def _make_admission_call(self) -> overload.AskedCall:
         """Make the input of the admission decision for the target set."""
@@ -386,7 +388,7 @@
             workspace=self.identity.workspace,
             workspace_priority=self.identity.priority,
         )
-        self.standing.tell(call)
+        self.request_status.add_evidence(call)
         return call
 
     def _learn(self, peer: _peers.Peer, answer: _messages.CallAnswer) -> None:
@@ -400,7 +402,7 @@
             self.chooser.search.note_busy(peer.row.host, answer.retry_after_ms)
             self.state.decisions.count_attempt(answer.reason)
             return
-        self.standing.note(answer)
+        self.request_status.update(answer)
         if answer.reached_target:
             self.arrivals += 1
             self.state.exposure.note_arrival(self.target_set)
@@ -456,7 +458,11 @@
 
     def _find_logged_fingerprint(self) -> base.Fingerprint | None:
         """Return the fingerprint of a request that may have run, for logs."""
-        return self.standing.make_fingerprint() if self.may_have_run else None
+        return (
+            self.request_status.make_fingerprint()
+            if self.may_have_run
+            else None
+        )
 
     def _may_retry_host(
         self, peer: _peers.Peer, answer: _messages.CallAnswer
@@ -478,7 +484,7 @@
 
     def _choose_next(self, answer: _messages.CallAnswer) -> _peers.Peer | None:
         """Choose the next target after an answer that is not final."""
-        if self.standing.is_quarantined:
+        if self.request_status.is_quarantined:
             return None
         is_not_run = answer.outcome is _Outcome.NOT_RUN
         if is_not_run and not answer.reached_target:
@@ -547,7 +553,7 @@
             return self._forward(self.answered)
         if self.may_have_run:
             return self._refuse(exceptions.Code.REQUEST_UNKNOWN)
-        if self.standing.is_quarantined:
+        if self.request_status.is_quarantined:
             return self._refuse(exceptions.Code.REQUEST_QUARANTINED)
         if self.last is None:
             return self._refuse(exceptions.Code.REQUEST_NO_TARGET)
@@ -567,7 +573,7 @@
             self.last,
             self._elapsed_ms(),
             self.version,
-            self.standing.fingerprint if self.standing else None,
+            self.request_status.fingerprint if self.request_status else None,
             self.identity.key_head,
         )
         return self._make_refusal(code)
@@ -603,7 +609,7 @@
         """Return the time after which a refused caller should retry."""
         if code is exceptions.Code.REQUEST_QUARANTINED:
             # An earlier retry would only be refused again.
-            return self.standing.find_wait_s()
+            return self.request_status.find_wait_s()
         if code is exceptions.Code.REQUEST_KEY_UNSURE:
             return self.state.rng.uniform(*KEY_RETRY_AFTER_S)
         if code is exceptions.Code.REQUEST_QUOTA:
--- a/sedgering/mesh/_standing.py
+++ b/sedgering/mesh/_request_status.py
@@ -5,10 +5,10 @@
 from sedgering.mesh import _messages
 from sedgering import transport
 
-__all__ = ['KnownRequest']
+__all__ = ['RequestStatus']
 
 
-class KnownRequest:
+class RequestStatus:
     """Crash status of one request, at the daemon of its caller.
 
     Parameters
@@ -32,17 +32,17 @@
     @property
     def is_suspect(self) -> bool:
         """Whether the request may run at one host only."""
-        return self._find_standing() is _crashes.Standing.SUSPECT
+        return self._find_status() is _crashes.CrashStatus.SUSPECT
 
     @property
     def is_quarantined(self) -> bool:
         """Whether the request must not be started."""
-        return self._find_standing() is _crashes.Standing.QUARANTINED
+        return self._find_status() is _crashes.CrashStatus.QUARANTINED
 
-    def _find_standing(self) -> _crashes.Standing:
+    def _find_status(self) -> _crashes.CrashStatus:
         if self.fingerprint is None:
-            return _crashes.Standing.SOUND
-        return self._crashes.find_standing(self.fingerprint)
+            return _crashes.CrashStatus.SOUND
+        return self._crashes.find_status(self.fingerprint)
 
     def find_wait_s(self) -> float:
         """Return the time until a quarantined request may be tried."""
@@ -54,7 +54,7 @@
             return self._crashes.make_fingerprint(self._request)
         return self.fingerprint
 
-    def tell(self, call: _messages.TargetCall) -> None:
+    def add_evidence(self, call: _messages.TargetCall) -> None:
         """Add the evidence that is known here to a call."""
         if self.fingerprint is None:
             return
@@ -62,7 +62,7 @@
         call.crashes = self._crashes.list_crashes(self.fingerprint)
         call.forgiven = self._crashes.list_cleared(self.fingerprint)
 
-    def note(self, answer: _messages.CallAnswer) -> None:
+    def update(self, answer: _messages.CallAnswer) -> None:
         """Update the table with an answer and the crashes it reports."""
         if answer.crashes:
             self.fingerprint = self.make_fingerprint()
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_side.py
@@ -339,7 +339,7 @@
         Copies of it wait for the result of the first one.
         """
         crashes = self.crashes
-        while crashes.find_standing(fingerprint) is _crashes.Standing.SUSPECT:
+        while crashes.find_status(fingerprint) is _crashes.CrashStatus.SUSPECT:
             if not call.is_trial:
                 return self._refuse(call, _messages.RefusalReason.SUSPECTED)
             count = crashes.count_crashes(fingerprint)
@@ -349,7 +349,10 @@
                 finally:
                     self.trials.finish(fingerprint)
             await self.trials.wait()
-        if crashes.find_standing(fingerprint) is _crashes.Standing.QUARANTINED:
+        if (
+            crashes.find_status(fingerprint)
+            is _crashes.CrashStatus.QUARANTINED
+        ):
             return self._refuse(call, _messages.RefusalReason.QUARANTINED)
         call.is_trial = False
         return await self._admit(call, arrived_s)
@@ -456,8 +459,8 @@
         fingerprint = self.crashes.find(call.request)
         if fingerprint is not None and not call.is_trial:
             if (
-                self.crashes.find_standing(fingerprint)
-                is not _crashes.Standing.SOUND
+                self.crashes.find_status(fingerprint)
+                is not _crashes.CrashStatus.SOUND
             ):
                 return self._refuse(call, _messages.RefusalReason.SUSPECTED)
         return await self._send(call, ticket)
