--- a/benchmarks/bench_crashes.py
+++ b/benchmarks/bench_crashes.py
@@ -17,7 +17,7 @@
 
 from sedgering import clock
 from sedgering import mesh
-from sedgering.mesh import _notice
+from sedgering.mesh import _crash_notice
 from sedgering import testing
 from sedgering import transport
 
@@ -25,8 +25,8 @@
 LOOKS = 20_000
 ENTRIES = 512
 SUSPECTS = 18
-MOST_SUSPECTS = 32
-MOST_CRASHES = 4
+MAX_SUSPECTS = 32
+MAX_CRASHES = 4
 FIELDS = {
     'host': 'calendar.example',
     'user-agent': 'sdk-client/1.9.3',
@@ -52,7 +52,7 @@
     table = mesh.CrashTable(
         settings.caller_fields, settings.quarantine_crashes, lambda: 0.0
     )
-    table.take_record(make_record(table, suspects, 0))
+    table.add_record(make_record(table, suspects, 0))
     return table
 
 
@@ -85,13 +85,13 @@
     """Return the sizes of what is sent where a target ends."""
     table = make_table(0)
     usual = make_record(table, SUSPECTS, 0)
-    largest = make_record(table, MOST_SUSPECTS, 0)
+    largest = make_record(table, MAX_SUSPECTS, 0)
     largest = msgspec.structs.replace(largest, trials=largest.suspects)
-    sizes = {'message': len(_notice.encode_notice(usual))}
+    sizes = {'message': len(_crash_notice.encode_notice(usual))}
     for name, crashes in (
         ('row_without_ends', ()),
         ('row_one_end', (usual,)),
-        ('row_largest', (largest,) * MOST_CRASHES),
+        ('row_largest', (largest,) * MAX_CRASHES),
     ):
         row = testing.make_member_row('sidecar-1', crashes=crashes)
         sizes[name] = len(msgspec.json.encode(row))
@@ -106,7 +106,7 @@
         fingerprint = table.make_fingerprint(make_request(number))
         for crash in ('a', 'b', 'c'):
             name = mesh.CrashId(crash + 'i' * 20)
-            table.blame(fingerprint, (mesh.CrashEvidence(name, True),))
+            table.add_crashes(fingerprint, (mesh.CrashEvidence(name, True),))
     size_bytes, _peak_bytes = tracemalloc.get_traced_memory()
     assert len(table) == ENTRIES
     return size_bytes
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -635,7 +635,7 @@
     version=st.integers(0, 9999),
     is_trial=st.booleans(),
     crashes=EVIDENCE,
-    forgiven=CRASHES,
+    cleared_crashes=CRASHES,
     workspace=NAMES,
     workspace_priority=st.integers(0, 9),
 ).map(name_workspace)
@@ -739,9 +739,9 @@
                 closed.add(name)
             elif kind == 'misdirected':
                 closed.add(target.target)
-                target.forget()
+                target.discard()
             elif kind == 'probed':
-                is_settled = target.settle_rival(name, 0.0)
+                is_settled = target.resolve_conflict(name, 0.0)
                 if is_settled and not target.is_open:
                     closed.add(name)
                 if before not in (None, target.target):
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -56,7 +56,7 @@
         kind, _space, number = event.strip().partition(' ')
         if kind in ('crash', 'trial'):
             evidence = mesh.CrashEvidence(number, kind == 'trial')
-            self.table.blame(FINGERPRINT, (evidence,))
+            self.table.add_crashes(FINGERPRINT, (evidence,))
         elif kind == 'answer':
             self.table.clear(FINGERPRINT)
 
@@ -125,7 +125,7 @@
             )
             rng.shuffle(order)
             for crash in order:
-                subject.table.blame(FINGERPRINT, (crash,))
+                subject.table.add_crashes(FINGERPRINT, (crash,))
             subject.table.clear(FINGERPRINT, answered)
         assert len({subject.find_status() for subject in subjects}) == 1
         counted = [item for item in reported if item.crash not in answered]
@@ -166,7 +166,9 @@
 def step_others(context, count):
     for number in range(1, count + 1):
         context.subject.now_s += 0.01
-        context.subject.table.blame(make_fingerprint(number), OTHER_CRASH)
+        context.subject.table.add_crashes(
+            make_fingerprint(number), OTHER_CRASH
+        )
 
 
 @then('{count:d} requests are known, and the first one is {status}')
@@ -228,7 +230,7 @@
 @when('a crash is recorded for another one {pause_s:d} s later')
 def step_later(context, pause_s):
     context.subject.now_s += pause_s
-    context.subject.table.blame(make_fingerprint(1), OTHER_CRASH)
+    context.subject.table.add_crashes(make_fingerprint(1), OTHER_CRASH)
 
 
 @then('{count:d} requests are known')
@@ -248,7 +250,7 @@
         for number in range(count)
     )
     row = testing.make_member_row('hall-1', crashes=records)
-    context.subject.table.take_row(row)
+    context.subject.table.add_row(row)
 
 
 @given('two requests that differ in {difference}')
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -43,10 +43,10 @@
             self.target.leave(mesh.Lifetime(TARGET, int(born)))
         elif kind == 'down':
             self._take_report('ready', sequence, born)
-            self.target.note_down(mesh.Lifetime(TARGET, int(born)))
+            self.target.mark_crashed(mesh.Lifetime(TARGET, int(born)))
         elif kind == 'forgotten':
             self._take_report('ready', 2, born)
-            self.target.forget()
+            self.target.discard()
         else:
             self._take_report(kind, sequence, born)
 
@@ -58,9 +58,9 @@
             self.target.leave(lifetime)
             ended.add(lifetime)
         elif kind == 'misdirected':
-            self.target.forget()
+            self.target.discard()
         elif kind == 'probed':
-            self.target.settle_rival(lifetime.target, 0.0)
+            self.target.resolve_conflict(lifetime.target, 0.0)
         else:
             report = make_report(kind, counter, lifetime)
             self.target.take_report(report, 0.0)
@@ -157,7 +157,7 @@
     other = mesh.Lifetime(base.TargetName('i-2'), born)
     target = context.subject.target
     target.take_report(make_report('ready', 1, other), 0.0)
-    target.settle_rival(other.target, 0.0)
+    target.resolve_conflict(other.target, 0.0)
 
 
 @when('another id reports itself for the first time, born at {born:d}')
@@ -173,7 +173,7 @@
     assert target.is_open
     assert target.target == {'same': TARGET, 'other': 'i-2'}[which]
     # The other id is checked where it is not accepted.
-    assert (target.rival is not None) == (which == 'same')
+    assert (target.conflicting_report is not None) == (which == 'same')
 
 
 @given('a daemon that has learned about a target born at {born:d}')
@@ -390,12 +390,12 @@
 def step_other_answers(context):
     subject = context.mesh
 
-    async def forget():
+    async def discard():
         side = subject.first.daemon.state.side
-        side.target.forget()
+        side.target.discard()
         side.refresh_gate()
 
-    subject.fleet.run(forget())
+    subject.fleet.run(discard())
 
 
 @then('its daemon does not know how long its work takes')
--- a/features/steps/writer_steps.py
+++ b/features/steps/writer_steps.py
@@ -300,14 +300,14 @@
 def check_refused(context, target) -> None:
     """Send all reports of the table; each must be refused."""
     side = context.mesh.first.daemon.state.side
-    before = side.target.report, side.target.rival
+    before = side.target.report, side.target.conflicting_report
     for row in context.table:
         answer = send_report(context, target, row['report'])
         assert answer.status == 400, (row, answer)
         found = json.loads(answer.body)
         assert found['code'] == int(row['code']), (row, found)
         assert found['error']
-        now = side.target.report, side.target.rival
+        now = side.target.report, side.target.conflicting_report
         assert now == before and side.gate.is_open, (row, now)
 
 
--- a/sedgering/mesh/_crash_records.py
+++ b/sedgering/mesh/_crash_records.py
@@ -10,8 +10,8 @@
     'CrashEvidence',
     'CrashId',
     'CrashRecord',
-    'MOST_CRASHES',
-    'MOST_SUSPECTS',
+    'MAX_CRASHES',
+    'MAX_SUSPECTS',
 ]
 
 #: Identifies the crash of one lifetime of a target, in a header field.
@@ -22,12 +22,12 @@
 ]
 #: Maximum number of requests in a record: those in all slots of a target, and
 #: a few that ended just before.
-MOST_SUSPECTS = 32
+MAX_SUSPECTS = 32
 _Fingerprints = Annotated[
-    tuple[_Fingerprint, ...], msgspec.Meta(max_length=MOST_SUSPECTS)
+    tuple[_Fingerprint, ...], msgspec.Meta(max_length=MAX_SUSPECTS)
 ]
 #: Maximum number of crashes in a member row, which take up to 8 KB.
-MOST_CRASHES = 4
+MAX_CRASHES = 4
 
 
 class CrashRecord(msgspec.Struct, frozen=True):
--- a/sedgering/mesh/_crash_watch.py
+++ b/sedgering/mesh/_crash_watch.py
@@ -75,7 +75,7 @@
         #: Recent crashes, sent to other daemons in the member row.
         self.records: tuple[_crash_records.CrashRecord, ...] = ()
         #: Called with the record of each crash, which may name no request.
-        self.on_end: Callable[[_crash_records.CrashRecord], None] = _ignore
+        self.on_crash: Callable[[_crash_records.CrashRecord], None] = _ignore
         self._is_listening = is_listening
         self._lost = _lost_calls.LostCalls()
         self._probe: asyncio.Task | None = None
@@ -125,7 +125,7 @@
         suspects = self._lost.take(lifetime, self.now_s())
         # Requests that ran as suspects first, then the latest ones.
         ranked = sorted(suspects, key=suspects.get, reverse=True)
-        selected = ranked[: _crash_records.MOST_SUSPECTS]
+        selected = ranked[: _crash_records.MAX_SUSPECTS]
         record = _crash_records.CrashRecord(
             _crash_records.CrashId(f'{lifetime.target}@{lifetime.born_ms}'),
             clock.wall_ms(),
@@ -141,8 +141,8 @@
         )
         if suspects:
             self._add_record(record)
-            self.crashes.take_record(record)
-        self.on_end(record)
+            self.crashes.add_record(record)
+        self.on_crash(record)
 
     def restore(self, records: tuple[_crash_records.CrashRecord, ...]) -> None:
         """Add the records that this daemon published before its restart."""
@@ -155,7 +155,7 @@
         """Add a record; drop expired ones and those beyond the limit."""
         oldest_ms = clock.wall_ms() - _crashes.RETENTION_S * 1000
         recent = [item for item in self.records if item.ended_ms > oldest_ms]
-        self.records = (*recent, record)[-_crash_records.MOST_CRASHES :]
+        self.records = (*recent, record)[-_crash_records.MAX_CRASHES :]
 
 
 def _ignore(_record: _crash_records.CrashRecord) -> None:
--- a/sedgering/mesh/_crashes.py
+++ b/sedgering/mesh/_crashes.py
@@ -198,7 +198,7 @@
         entry = self._entries.get(fingerprint)
         return max(0.0, entry.retry_s - self.now_s()) if entry else 0.0
 
-    def take_row(self, row: _messages.MemberRow) -> None:
+    def add_row(self, row: _messages.MemberRow) -> None:
         """Add the recent crashes that a member row reports.
 
         Old records are skipped: a row may not have been written for a month.
@@ -206,16 +206,16 @@
         now_ms = clock.wall_ms()
         for record in row.crashes:
             if abs(now_ms - record.ended_ms) <= RETENTION_S * 1000:
-                self.take_record(record)
+                self.add_record(record)
 
-    def take_record(self, record: _crash_records.CrashRecord) -> None:
+    def add_record(self, record: _crash_records.CrashRecord) -> None:
         """Add the crash of a target."""
         for fingerprint in record.suspects:
             was_trial = fingerprint in record.trials
             evidence = _crash_records.CrashEvidence(record.crash, was_trial)
-            self.blame(fingerprint, (evidence,))
+            self.add_crashes(fingerprint, (evidence,))
 
-    def blame(
+    def add_crashes(
         self,
         fingerprint: base.Fingerprint,
         crashes: Iterable[_crash_records.CrashEvidence],
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -13,6 +13,7 @@
 from sedgering.mesh import _backlog
 from sedgering.mesh import _budget
 from sedgering.mesh import _config
+from sedgering.mesh import _crash_notice
 from sedgering.mesh import _crash_records
 from sedgering.mesh import _decisions
 from sedgering.mesh import _fleet
@@ -21,7 +22,6 @@
 from sedgering.mesh import _inbound
 from sedgering.mesh import _link
 from sedgering.mesh import _messages
-from sedgering.mesh import _notice
 from sedgering.mesh import _outbound
 from sedgering.mesh import _pause
 from sedgering.mesh import _peers
@@ -126,7 +126,7 @@
         #: `_needs_confirmation`.
         self._unconfirmed_report: _messages.TargetReport | None = None
         self.is_leaving = False
-        state.side.watch.on_end = self._send_crash_notices
+        state.side.watch.on_crash = self._send_crash_notices
         state.find_currency = source.find_currency
         self._servers: list[asyncio.AbstractServer] = []
         self._tasks: list[asyncio.Task] = []
@@ -220,8 +220,8 @@
         answer = await self._probe_target(path) if path else None
         side = self.state.side
         current = answer.target if answer else None
-        if side.target.settle_rival(current, side.gate.now_s()):
-            side.note_lifetime()
+        if side.target.resolve_conflict(current, side.gate.now_s()):
+            side.handle_new_lifetime()
             self._publish_target()
 
     def _check_peers(self, now_s: float) -> None:
@@ -266,7 +266,7 @@
             self.state.side.watch.restore(own.crashes)
         for row in members.values():
             if row.crashes:
-                self.state.crashes.take_row(row)
+                self.state.crashes.add_row(row)
         new = self.state.fleet.replace(members)
         self.state.peers.retain(frozenset(members))
         for row in new:
@@ -317,13 +317,13 @@
             return
         now_s = self.state.side.gate.now_s()
         target = self.state.side.target
-        had_rival = target.rival is not None
+        had_conflict = target.conflicting_report is not None
         is_changed = target.take_report(report, now_s)
-        self.state.side.note_lifetime()
+        self.state.side.handle_new_lifetime()
         if is_changed:
             self._update_permit()
             self._publish_target()
-        if target.rival is not None and not had_rival:
+        if target.conflicting_report is not None and not had_conflict:
             self._start_task(self._resolve_address_conflict())
 
     def _start_task(self, work: Coroutine) -> None:
@@ -430,7 +430,7 @@
         ]
         if len(rows) > CRASH_NOTICES_LIMIT:
             rows = self.state.rng.sample(rows, CRASH_NOTICES_LIMIT)
-        data = _notice.encode_notice(record)
+        data = _crash_notice.encode_notice(record)
         for row in rows:
             peer = self.state.peers.find(row)
             self._start_task(peer.ask(data, 'crash notice not delivered'))
--- a/sedgering/mesh/_hop.py
+++ b/sedgering/mesh/_hop.py
@@ -109,8 +109,8 @@
         headers.append((TRIAL, '1'))
     if call.crashes:
         headers.append((CRASHES, _encode_crashes(call.crashes)))
-    if call.forgiven:
-        headers.append((FORGIVEN, ID_SEPARATOR.join(call.forgiven)))
+    if call.cleared_crashes:
+        headers.append((FORGIVEN, ID_SEPARATOR.join(call.cleared_crashes)))
     if call.workspace:
         value = f'{call.workspace_priority}{SEPARATOR}{call.workspace}'
         headers.append((WORKSPACE, value))
@@ -139,7 +139,7 @@
     may_wait = request.find(FREE_PLACE) is None
     is_trial = request.find(TRIAL) is not None
     crashes = _decode_crashes(request.find(CRASHES))
-    forgiven = _split_ids(request.find(FORGIVEN))
+    cleared_crashes = _split_ids(request.find(FORGIVEN))
     request.headers = strip_internal(request.headers)
     request.workspace = workspace
     return _messages.TargetCall(
@@ -158,7 +158,7 @@
         may_wait=may_wait,
         is_trial=is_trial,
         crashes=crashes,
-        forgiven=forgiven,
+        cleared_crashes=cleared_crashes,
         workspace=workspace,
         workspace_priority=workspace_priority,
     )
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from sedgering import base
+from sedgering.mesh import _crash_notice
 from sedgering.mesh import _evidence_hop
 from sedgering.mesh import _hop
 from sedgering.mesh import _messages
-from sedgering.mesh import _notice
 from sedgering.mesh import _pause
 from sedgering.mesh import _quota_hop
 from sedgering.mesh import _quotas
@@ -100,7 +100,7 @@
             return self.quotas.answer(request)
         if _hop.is_ping(request):
             return transport.Response(200, [])
-        if _notice.is_notice(request):
+        if _crash_notice.is_notice(request):
             return self._take_notice(request)
         if _evidence_hop.is_question(request):
             return self._answer_evidence_query(request)
@@ -158,12 +158,12 @@
     def _take_notice(self, request: transport.Request) -> transport.Response:
         """Record the crash of the target of another daemon."""
         try:
-            record = _notice.decode_notice(request)
+            record = _crash_notice.decode_notice(request)
         except msgspec.DecodeError as error:
             LOG.warning(
                 'unreadable crash notice from a peer',
                 extra={'detail': str(error)},
             )
             return transport.make_json_response(400, {'error': str(error)})
-        self.side.crashes.take_record(record)
+        self.side.crashes.add_record(record)
         return transport.Response(200, [])
--- a/sedgering/mesh/_messages.py
+++ b/sedgering/mesh/_messages.py
@@ -304,7 +304,7 @@
     born_ms: base.Count = UNKNOWN_BORN_MS
     crashes: Annotated[
         tuple[_crash_records.CrashRecord, ...],
-        msgspec.Meta(max_length=_crash_records.MOST_CRASHES),
+        msgspec.Meta(max_length=_crash_records.MAX_CRASHES),
     ] = ()
     version: _SoftwareVersion = rollout.UNKNOWN_VERSION
 
@@ -390,7 +390,7 @@
         suspected request may run; at the gate, whether it runs as a suspect.
     crashes : tuple of CrashEvidence
         Crashes of targets while the request ran, as known to its sender.
-    forgiven : tuple of CrashId
+    cleared_crashes : tuple of CrashId
         Those of the crashes that no longer count, since a target has answered
         the request after them.
     workspace : str
@@ -416,7 +416,7 @@
     may_wait: bool = True
     is_trial: bool = False
     crashes: tuple[_crash_records.CrashEvidence, ...] = ()
-    forgiven: tuple[_crash_records.CrashId, ...] = ()
+    cleared_crashes: tuple[_crash_records.CrashId, ...] = ()
     workspace: base.WorkspaceName = base.NO_WORKSPACE
     workspace_priority: int = 0
 
--- a/sedgering/mesh/_request_status.py
+++ b/sedgering/mesh/_request_status.py
@@ -60,13 +60,13 @@
             return
         call.is_trial = self.is_suspect
         call.crashes = self._crashes.list_crashes(self.fingerprint)
-        call.forgiven = self._crashes.list_cleared(self.fingerprint)
+        call.cleared_crashes = self._crashes.list_cleared(self.fingerprint)
 
     def update(self, answer: _messages.CallAnswer) -> None:
         """Update the table with an answer and the crashes it reports."""
         if answer.crashes:
             self.fingerprint = self.make_fingerprint()
-            self._crashes.blame(self.fingerprint, answer.crashes)
+            self._crashes.add_crashes(self.fingerprint, answer.crashes)
         is_answered = answer.outcome is _messages.CallOutcome.ANSWERED
         if is_answered and self.fingerprint is not None:
             self._crashes.clear(self.fingerprint)
--- a/sedgering/mesh/_target.py
+++ b/sedgering/mesh/_target.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self.report: _messages.TargetReport | None = None
         #: Report of another lifetime that arrived while one is open.
-        self.rival: _messages.TargetReport | None = None
+        self.conflicting_report: _messages.TargetReport | None = None
         self.cold_until_s = 0.0
         #: Times of the last reports of the current lifetime and of the one
         #: before it, which prove that it was alive.
@@ -82,13 +82,13 @@
             if not _replaces(old, report):
                 return False
         elif self.is_open and _may_be_delayed(old, report):
-            self.rival = report
+            self.conflicting_report = report
             return False
         elif old is not None:
             self._record_end(old.lifetime)
         return self._accept(report, now_s)
 
-    def settle_rival(
+    def resolve_conflict(
         self, current: base.TargetName | None, now_s: float
     ) -> bool:
         """Decide between two lifetimes that both report themselves.
@@ -105,21 +105,21 @@
         bool
             Whether anything changed that peers must be told.
         """
-        rival, self.rival = self.rival, None
-        if rival is None or self.report is None or current is None:
+        conflicting, self.conflicting_report = self.conflicting_report, None
+        if conflicting is None or self.report is None or current is None:
             return False
-        if self._has_ended(rival.lifetime):
+        if self._has_ended(conflicting.lifetime):
             # It has deregistered since it reported.
             return False
-        if rival.target == self.report.target:
+        if conflicting.target == self.report.target:
             # A later report of it was accepted meanwhile.
             return False
-        if current == rival.target:
+        if current == conflicting.target:
             self._record_end(self.report.lifetime)
-            return self._accept(rival, now_s)
+            return self._accept(conflicting, now_s)
         if current == self.report.target:
-            _log('delayed report ignored', rival)
-            self._record_end(rival.lifetime)
+            _log('delayed report ignored', conflicting)
+            self._record_end(conflicting.lifetime)
         return False
 
     def _accept(self, report: _messages.TargetReport, now_s: float) -> bool:
@@ -173,7 +173,7 @@
         _log('target deregistered', self.report)
         return was_open
 
-    def note_down(self, lifetime: _messages.Lifetime) -> bool:
+    def mark_crashed(self, lifetime: _messages.Lifetime) -> bool:
         """Record that a lifetime has crashed.
 
         Its next report opens it again, since the detection was then wrong.
@@ -191,7 +191,7 @@
         _log('target ended', self.report)
         return True
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Discard the target, because another one answered at its address.
 
         The gate then stays closed until the next report.
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_side.py
@@ -88,7 +88,7 @@
         #: The member row of this host, once it is known.
         self.row: _messages.MemberRow | None = None
         #: Calls at the target, by connection.
-        self._busy: dict[
+        self._in_flight: dict[
             transport.ClientConnection, _crash_watch.SentCall
         ] = {}
         #: Lifetime that the statistics of the gate are from.
@@ -116,7 +116,7 @@
     def latest_deadline_s(self) -> float:
         """Latest deadline of the calls at the target; -inf without any."""
         return max(
-            (sent.deadline_s for sent in self._busy.values()),
+            (sent.deadline_s for sent in self._in_flight.values()),
             default=-math.inf,
         )
 
@@ -152,7 +152,7 @@
         self.pool.put(connection)
         return True
 
-    def note_lifetime(self) -> None:
+    def handle_new_lifetime(self) -> None:
         """Reset statistics and connections when the lifetime has changed."""
         previous, current = self._lifetime, self.target.lifetime
         if current is None:
@@ -182,28 +182,30 @@
         occupy slots of the current lifetime.  Later calls may already have
         reached the current one.
         """
-        for connection, sent in list(self._busy.items()):
+        for connection, sent in list(self._in_flight.items()):
             if sent.at_s < until_s:
                 connection.close()
 
-    def _note_end(self, lifetime: _messages.Lifetime) -> None:
+    def _handle_crash(self, lifetime: _messages.Lifetime) -> None:
         """Record that a lifetime has crashed, and close its connections.
 
         Closing the gate makes peers send calls to other hosts: a host whose
         target refuses at once looks idle and would attract all calls.
         """
-        if not self.target.note_down(lifetime):
+        if not self.target.mark_crashed(lifetime):
             return
         self.refresh_gate()
         self._report_crash(lifetime)
         self.pool.close()
-        for connection, sent in list(self._busy.items()):
+        for connection, sent in list(self._in_flight.items()):
             if sent.lifetime == lifetime:
                 connection.close()
 
     def _report_crash(self, lifetime: _messages.Lifetime) -> None:
         in_flight = [
-            sent for sent in self._busy.values() if sent.lifetime == lifetime
+            sent
+            for sent in self._in_flight.values()
+            if sent.lifetime == lifetime
         ]
         self.watch.record_crash(lifetime, in_flight)
 
@@ -322,10 +324,10 @@
         """
         if call.crashes:
             fingerprint = self.crashes.make_fingerprint(call.request)
-            self.crashes.blame(fingerprint, call.crashes)
+            self.crashes.add_crashes(fingerprint, call.crashes)
         fingerprint = self.crashes.find(call.request)
         if fingerprint is not None:
-            self.crashes.clear(fingerprint, call.forgiven)
+            self.crashes.clear(fingerprint, call.cleared_crashes)
         return fingerprint
 
     async def _run_suspect(
@@ -502,7 +504,7 @@
         except transport.ConnectFailed as error:
             reason = _messages.RefusalReason.UNREACHABLE
             if error.is_refused and self.target.lifetime is not None:
-                self._note_end(self.target.lifetime)
+                self._handle_crash(self.target.lifetime)
                 reason = _messages.RefusalReason.TARGET_UNKNOWN
             return _messages.CallAnswer(
                 _messages.CallOutcome.NOT_RUN,
@@ -518,8 +520,8 @@
             self.pool.put(connection)
             return self._refuse(call, _messages.RefusalReason.DEADLINE)
         data = self._encode(call, remaining_ms)
-        sent = self._make_sent(call, ticket, lifetime)
-        self._busy[connection] = sent
+        sent = self._make_sent_call(call, ticket, lifetime)
+        self._in_flight[connection] = sent
         try:
             response = await connection.exchange(
                 data,
@@ -527,7 +529,7 @@
                 call.request.method == 'HEAD',
             )
         except transport.ExchangeFailed as error:
-            await self._settle_loss(sent)
+            await self._check_lost_call(sent)
             return _messages.CallAnswer(
                 _messages.CallOutcome.UNKNOWN,
                 reason=_messages.RefusalReason.CONNECTION_LOST,
@@ -539,12 +541,12 @@
             self.watch.add_lost_call(sent)
             raise
         finally:
-            del self._busy[connection]
+            del self._in_flight[connection]
         self.pool.put(connection)
         self.note_load(response.find(self._load_name))
         return self._classify(response, call)
 
-    def _make_sent(
+    def _make_sent_call(
         self,
         call: _messages.TargetCall,
         ticket: _gate.Ticket,
@@ -558,13 +560,13 @@
             call.is_trial,
         )
 
-    async def _settle_loss(self, sent: _crash_watch.SentCall) -> None:
+    async def _check_lost_call(self, sent: _crash_watch.SentCall) -> None:
         """Check whether a call was lost because its target crashed."""
         self.watch.add_lost_call(sent)
         is_present = self.target.lifetime == sent.lifetime
         if is_present and self.target.is_open:
             if await self.watch.has_crashed():
-                self._note_end(sent.lifetime)
+                self._handle_crash(sent.lifetime)
 
     def _encode(self, call: _messages.TargetCall, remaining_ms: int) -> bytes:
         names = self.names
@@ -626,7 +628,7 @@
         if self._open_lifetime == lifetime:
             self._open_lifetime = None
             self._report_crash(lifetime)
-        self.target.forget()
+        self.target.discard()
         self.refresh_gate()
 
     def _is_intact(self, response: transport.Response) -> bool:
--- a/sedgering/model/_hosts.py
+++ b/sedgering/model/_hosts.py
@@ -69,19 +69,19 @@
 
     async def _send(self, call, ticket):
         lifetime = self.target.lifetime
-        sent = self._make_sent(call, ticket, lifetime)
+        sent = self._make_sent_call(call, ticket, lifetime)
         connection = _ModelConnection()
-        self._busy[connection] = sent
+        self._in_flight[connection] = sent
         try:
             return await self._run_model(call, ticket)
         except _targets.TargetDown:
-            self._note_end(lifetime)
+            self._handle_crash(lifetime)
             return mesh.CallAnswer(
                 mesh.CallOutcome.NOT_RUN,
                 reason=mesh.RefusalReason.TARGET_UNKNOWN,
             )
         except _targets.TargetEnded:
-            await self._settle_loss(sent)
+            await self._check_lost_call(sent)
             return mesh.CallAnswer(
                 mesh.CallOutcome.UNKNOWN,
                 reason=mesh.RefusalReason.CONNECTION_LOST,
@@ -89,7 +89,7 @@
                 crashes=self._list_crashes(call),
             )
         finally:
-            del self._busy[connection]
+            del self._in_flight[connection]
 
     async def _run_model(self, call, ticket):
         work = self.work_book[call.request_id]
@@ -218,7 +218,7 @@
             1,
         )
         self.side.target.take_report(report, self.side.gate.now_s())
-        self.side.note_lifetime()
+        self.side.handle_new_lifetime()
         self.side.refresh_gate()
 
     def renew(self) -> None:
@@ -244,7 +244,7 @@
     def take_rows(self, rows: dict[base.HostId, mesh.MemberRow]) -> None:
         """Take over the rows of all hosts, as the store has them."""
         for row in rows.values():
-            self.state.crashes.take_row(row)
+            self.state.crashes.add_row(row)
         self.state.fleet.replace(rows)
 
     async def ask(
--- a/sedgering/model/_play.py
+++ b/sedgering/model/_play.py
@@ -142,7 +142,7 @@
 
         target.call = call
         target.on_end = lambda: self._plan_return(host)
-        host.side.watch.on_end = lambda record: self._tell_end(host, record)
+        host.side.watch.on_crash = lambda record: self._tell_end(host, record)
 
     def _change_noise(self, host: _hosts.ModelHost) -> None:
         target = host.target
@@ -167,8 +167,8 @@
         loop = asyncio.get_running_loop()
         for other in self.hosts.values():
             if other.row.target_set == host.row.target_set:
-                take = other.state.crashes.take_record
-                loop.call_later(self.load.hop_ms / 1000, take, record)
+                add = other.state.crashes.add_record
+                loop.call_later(self.load.hop_ms / 1000, add, record)
 
     def _publish(self) -> None:
         loop = asyncio.get_running_loop()
