--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -34,7 +34,7 @@
     """One daemon's admission of calls to one set, and its decisions."""
 
     def __init__(self, demand_percent: float):
-        self.table = overload.LevelTable()
+        self.table = overload.AdmissionController()
         self.demand_percent = demand_percent
         self.now_s = 0.0
         self.rng = random.Random(1)
@@ -67,7 +67,7 @@
             self._send_call(name, kinds[name][1])
             if is_reported:
                 percent = self._find_demand_percent()
-                self.table.take_demand(SET, percent, self.now_s)
+                self.table.add_demand_report(SET, percent, self.now_s)
 
     def _find_demand_percent(self) -> float:
         if self.full_per_s is None:
@@ -83,10 +83,12 @@
     def _send_call(self, name: str, fields: dict) -> None:
         request_id = base.RequestId(str(self.rng.random()))
         given_fields = {'priority': 1, **fields}
-        call = overload.AskedCall(SET, request_id, WORK_MS, **given_fields)
-        verdict = self.table.judge(call, self.now_s)
-        self.seen.append((self.now_s, name, verdict.is_admitted))
-        if verdict.is_admitted and not self._is_served():
+        call = overload.AdmissionRequest(
+            SET, request_id, WORK_MS, **given_fields
+        )
+        decision = self.table.decide(call, self.now_s)
+        self.seen.append((self.now_s, name, decision.is_admitted))
+        if decision.is_admitted and not self._is_served():
             self.table.note_refused(call, self.now_s)
 
     def _is_served(self) -> bool:
@@ -170,7 +172,7 @@
 def step_early_retries(context, one, other):
     kinds = {
         'the others': (one, {}),
-        'the early retries': (other, {'is_hasty': True}),
+        'the early retries': (other, {'is_early_retry': True}),
     }
     context.admission.send_calls(kinds, 6)
 
@@ -242,15 +244,15 @@
     admission = context.admission
     admission.send_calls({'priority 1': (100, {})}, 2)
     admission.table.retain(frozenset())
-    admission.table.take_demand(SET, 200, admission.now_s)
+    admission.table.add_demand_report(SET, 200, admission.now_s)
 
 
 @then('the call may still be refused, and the next one is admitted')
 def step_forgotten(context):
     admission = context.admission
-    call = overload.AskedCall(SET, base.RequestId('id-1'), WORK_MS, 1)
+    call = overload.AdmissionRequest(SET, base.RequestId('id-1'), WORK_MS, 1)
     admission.table.note_refused(call, admission.now_s - 0.1)
-    assert admission.table.judge(call, admission.now_s).is_admitted
+    assert admission.table.decide(call, admission.now_s).is_admitted
 
 
 @then('for any demands and capacity the shares fit it and are max-min fair')
@@ -290,14 +292,16 @@
     'not after {later_ms:d} ms'
 )
 def step_is_early(_context, longest_ms, soon_ms, later_ms):
-    assert overload.is_hasty(soon_ms, longest_ms)
-    assert not overload.is_hasty(later_ms, longest_ms)
+    assert overload.is_early_retry(soon_ms, longest_ms)
+    assert not overload.is_early_retry(later_ms, longest_ms)
 
 
-def _note_asked(shares, asked) -> None:
+def _note_requested(shares, asked) -> None:
     for number, count in enumerate(asked):
         for _ in range(count):
-            shares.note_asked(base.WorkspaceName(f'{number}'), WORK_MS, 0.0)
+            shares.note_requested(
+                base.WorkspaceName(f'{number}'), WORK_MS, 0.0
+            )
 
 
 def _note_served(shares, served) -> None:
@@ -308,8 +312,8 @@
 
 @given('a gate whose workspaces send {one:d} and {other:d} calls')
 def step_shares(context, one, other):
-    context.shares = overload.RoomShares()
-    _note_asked(context.shares, (one, other))
+    context.shares = overload.WorkspaceShares()
+    _note_requested(context.shares, (one, other))
 
 
 @given(
@@ -317,8 +321,8 @@
     '{served:d} of the first are served'
 )
 def step_shares_served(context, one, other, served):
-    context.shares = overload.RoomShares()
-    _note_asked(context.shares, (one, other))
+    context.shares = overload.WorkspaceShares()
+    _note_requested(context.shares, (one, other))
     _note_served(context.shares, (served, 0))
 
 
@@ -327,25 +331,28 @@
     _note_served(context.shares, (one, other))
 
 
-def _judge(context, name: str) -> overload.Standing:
-    return context.shares.judge(base.WorkspaceName(name), WORK_MS, 0.0)
+def _find_standing(context, name: str) -> overload.ShareStanding:
+    return context.shares.find_standing(base.WorkspaceName(name), WORK_MS, 0.0)
 
 
 @then('the first one got more than its fair share, and the other did not')
 def step_over(context):
-    assert _judge(context, '0') is overload.Standing.OVER
-    assert _judge(context, '1') is not overload.Standing.OVER
+    assert _find_standing(context, '0') is overload.ShareStanding.OVER
+    assert _find_standing(context, '1') is not overload.ShareStanding.OVER
 
 
 @then('the first one is not starved, and the other is')
 def step_starved(context):
-    assert _judge(context, '0') is not overload.Standing.STARVED
-    assert _judge(context, '1') is overload.Standing.STARVED
+    assert _find_standing(context, '0') is not overload.ShareStanding.STARVED
+    assert _find_standing(context, '1') is overload.ShareStanding.STARVED
 
 
 @then('a call without a workspace is neither first nor last of its rank')
 def step_alike(context):
-    assert _judge(context, base.NO_WORKSPACE) is overload.Standing.USUAL
+    assert (
+        _find_standing(context, base.NO_WORKSPACE)
+        is overload.ShareStanding.USUAL
+    )
 
 
 @when('a request is rejected at the source with {percent:d} % admitted')
@@ -366,7 +373,7 @@
             base.RouteName('look-up'),
             SET,
             base.WorkspaceName('north'),
-            overload.Verdict(False, percent / 100, 130.0, 70),
+            overload.AdmissionDecision(False, percent / 100, 130.0, 70),
             base.Version(4),
         )
     finally:
--- a/sedgering/mesh/_callers.py
+++ b/sedgering/mesh/_callers.py
@@ -101,13 +101,13 @@
     waited_ms : int
         Time since the caller's first try, derived from the time that it has
         left; 0 for the first try.
-    is_hasty : bool
+    is_early_retry : bool
         Whether the caller retried before its Retry-After had passed.
     """
 
     urgency: _messages.CallUrgency
     waited_ms: int = 0
-    is_hasty: bool = False
+    is_early_retry: bool = False
 
 
 class CallerTable:
@@ -152,7 +152,7 @@
             waited_ms,
             # Unknown when callers use different timeouts.
             known.is_uniform
-            and overload.is_hasty(waited_ms, known.longest_ms),
+            and overload.is_early_retry(waited_ms, known.longest_ms),
         )
 
     def retain(self, routes: Collection[base.RouteName]) -> None:
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -246,7 +246,7 @@
             target_sets = frozenset(
                 item.name for item in config.bundle.target_sets
             )
-            self.state.levels.retain(target_sets)
+            self.state.admission.retain(target_sets)
             self.state.centres.retain(target_sets)
             self.state.quotas.take_config(config.bundle.workspaces)
             self.state.side.speed.retain(names)
--- a/sedgering/mesh/_decisions.py
+++ b/sedgering/mesh/_decisions.py
@@ -143,7 +143,7 @@
         route: base.RouteName,
         target_set: base.TargetSetName,
         workspace: base.WorkspaceName,
-        verdict: overload.Verdict,
+        decision: overload.AdmissionDecision,
         version: base.Version,
     ) -> None:
         """Log a request that was refused before it was sent to any host."""
@@ -155,9 +155,9 @@
             route=route,
             target_set=target_set,
             workspace=workspace,
-            admitted_percent=round(100 * verdict.share),
-            demand_percent=round(verdict.demand_percent),
-            age_ms=verdict.age_ms,
+            admitted_percent=round(100 * decision.share),
+            demand_percent=round(decision.demand_percent),
+            age_ms=decision.age_ms,
             version=version,
         )
 
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -84,7 +84,7 @@
         self.deadline_s = 0.0
         self.goal_s = 0.0
         self.urgency = _messages.CallUrgency.FIRST
-        self.is_hasty = False
+        self.is_early_retry = False
         #: Bounds of Retry-After, as shares of the time that the caller has
         #: left.
         self.retry_after_shares = overload.RETRY_AFTER_SHARES
@@ -148,13 +148,13 @@
         if not await self._take_token():
             return self._refuse(exceptions.Code.REQUEST_QUOTA)
         admission_call = self._make_admission_call()
-        verdict = self.state.levels.judge(admission_call, self._now_s)
-        if not verdict.is_admitted:
-            return self._reject(verdict)
+        decision = self.state.admission.decide(admission_call, self._now_s)
+        if not decision.is_admitted:
+            return self._reject(decision)
         begun_s = self._now_s
         response = await self._serve()
         if self.ended_overloaded:
-            self.state.levels.note_refused(admission_call, begun_s)
+            self.state.admission.note_refused(admission_call, begun_s)
         return response
 
     async def _serve(self) -> transport.Response:
@@ -188,20 +188,22 @@
             self.state, call, self.request_status, search
         )
 
-    def _make_admission_call(self) -> overload.AskedCall:
+    def _make_admission_call(self) -> overload.AdmissionRequest:
         """Make the input of the admission decision for the target set."""
-        return overload.AskedCall(
+        return overload.AdmissionRequest(
             self.target_set,
             self.request_id,
             self.state.peers.typical_work_ms(self.route.name),
             self.policy.priority,
-            self.is_hasty,
+            self.is_early_retry,
             self.identity.workspace,
             self.identity.priority,
             self.urgency is _messages.CallUrgency.TARGET,
         )
 
-    def _reject(self, verdict: overload.Verdict) -> transport.Response:
+    def _reject(
+        self, decision: overload.AdmissionDecision
+    ) -> transport.Response:
         """Refuse a request that its target set has no capacity for."""
         self.retry_after_shares = overload.REJECTED_AFTER_SHARES
         code = exceptions.Code.REQUEST_SHED
@@ -211,7 +213,7 @@
             self.route.name,
             self.target_set,
             self.identity.workspace,
-            verdict,
+            decision,
             self.version,
         )
         return self._make_refusal(code)
@@ -260,7 +262,7 @@
             self.state.side.latest_deadline_s,
         )
         self.urgency = origin.urgency
-        self.is_hasty = origin.is_hasty
+        self.is_early_retry = origin.is_early_retry
         goal_ms = self.policy.latency_goal_ms or timeout_ms
         self.goal_s = started_s + (goal_ms - origin.waited_ms) / 1000
 
@@ -451,7 +453,9 @@
     def _learn_demand(self, peer: _peers.Peer, demand_percent: int) -> None:
         """Record the demand that a target reports."""
         now_s = self._now_s
-        self.state.levels.take_demand(self.target_set, demand_percent, now_s)
+        self.state.admission.add_demand_report(
+            self.target_set, demand_percent, now_s
+        )
         self.state.centres.note(
             self.target_set, peer.row.data_centre, demand_percent, now_s
         )
--- a/sedgering/mesh/_gate.py
+++ b/sedgering/mesh/_gate.py
@@ -98,7 +98,7 @@
     workspace_priority : int
         Priority of the workspace, compared before `priority`; 0 is served
         first.
-    standing : Standing
+    standing : ShareStanding
         Recent share of service of the workspace; set by :meth:`Gate.enter`.
     """
 
@@ -110,7 +110,7 @@
     may_wait: bool = True
     workspace: base.WorkspaceName = base.NO_WORKSPACE
     workspace_priority: int = 0
-    standing: overload.Standing = overload.Standing.USUAL
+    standing: overload.ShareStanding = overload.ShareStanding.USUAL
 
     @property
     def is_nested(self) -> bool:
@@ -132,10 +132,10 @@
         return (
             not self.is_nested,
             is_late,
-            self.standing is not overload.Standing.STARVED,
+            self.standing is not overload.ShareStanding.STARVED,
             self.workspace_priority,
             self.priority,
-            self.standing is overload.Standing.OVER,
+            self.standing is overload.ShareStanding.OVER,
             until_s,
         )
 
@@ -178,7 +178,7 @@
         #: Demand of all calls that are served before late ones.
         self._demand = _demand.Demand(now_s)
         self._queue: list[tuple[tuple, int, _Waiter]] = []
-        self._shares = overload.RoomShares()
+        self._shares = overload.WorkspaceShares()
         self._failure_share = 0.0
         self._sequence = 0
 
@@ -325,8 +325,10 @@
             return
         work_ms = self.work.find_mean_ms(ticket.route)
         now_s = self.now_s()
-        self._shares.note_asked(ticket.workspace, work_ms, now_s)
-        ticket.standing = self._shares.judge(ticket.workspace, work_ms, now_s)
+        self._shares.note_requested(ticket.workspace, work_ms, now_s)
+        ticket.standing = self._shares.find_standing(
+            ticket.workspace, work_ms, now_s
+        )
 
     def _occupy_slot(self, ticket: Ticket) -> None:
         self.running += 1
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -81,7 +81,7 @@
         self.turns = _choice.WeightedTurns()
         self.callers = _callers.CallerTable()
         self.search_stats = _search.SearchStats()
-        self.levels = overload.LevelTable()
+        self.admission = overload.AdmissionController()
         self.centres = balance.CentreDemand()
         self.start = _start.StartupWait()
         self.serving = _serving.ServingDeadline()
--- a/sedgering/overload/__init__.py
+++ b/sedgering/overload/__init__.py
@@ -1,25 +1,25 @@
 """Decides which calls are served under overload; does no I/O."""
 
-from sedgering.overload._admission import AskedCall
-from sedgering.overload._admission import LevelTable
-from sedgering.overload._admission import Verdict
+from sedgering.overload._admission import AdmissionController
+from sedgering.overload._admission import AdmissionDecision
+from sedgering.overload._admission import AdmissionRequest
 from sedgering.overload._fair_share import find_fair_level
 from sedgering.overload._fair_share import WorkspaceWork
-from sedgering.overload._retry_after import is_hasty
+from sedgering.overload._retry_after import is_early_retry
 from sedgering.overload._retry_after import REJECTED_AFTER_SHARES
 from sedgering.overload._retry_after import RETRY_AFTER_SHARES
-from sedgering.overload._shares import RoomShares
-from sedgering.overload._shares import Standing
+from sedgering.overload._shares import ShareStanding
+from sedgering.overload._shares import WorkspaceShares
 
 __all__ = [
-    'AskedCall',
-    'LevelTable',
+    'AdmissionController',
+    'AdmissionDecision',
+    'AdmissionRequest',
     'REJECTED_AFTER_SHARES',
     'RETRY_AFTER_SHARES',
-    'RoomShares',
-    'Standing',
-    'Verdict',
+    'ShareStanding',
+    'WorkspaceShares',
     'WorkspaceWork',
     'find_fair_level',
-    'is_hasty',
+    'is_early_retry',
 ]
--- a/sedgering/overload/_admission.py
+++ b/sedgering/overload/_admission.py
@@ -17,7 +17,7 @@
 from sedgering.overload import _decay
 from sedgering.overload import _fair_share
 
-__all__ = ['AskedCall', 'LevelTable', 'Verdict']
+__all__ = ['AdmissionController', 'AdmissionDecision', 'AdmissionRequest']
 
 #: Time constant of the sums over a daemon's calls.  At ten calls a second to a
 #: set it covers twenty calls, and bursts of load last longer.
@@ -49,7 +49,7 @@
 HASH_RANGE = 2**32
 
 
-class AskedCall(msgspec.Struct, frozen=True):
+class AdmissionRequest(msgspec.Struct, frozen=True):
     """The properties of a call that its admission depends on.
 
     Parameters
@@ -62,7 +62,7 @@
         Typical work time of its route, in milliseconds.
     priority : int
         Priority of its route; 0 is served first.
-    is_hasty : bool
+    is_early_retry : bool
         Whether its caller retried sooner than it was told.  Such calls rank
         behind the others of their priority, so an early retry has no
         advantage.
@@ -79,7 +79,7 @@
     request_id: base.RequestId
     work_ms: float
     priority: int
-    is_hasty: bool = False
+    is_early_retry: bool = False
     workspace: base.WorkspaceName = base.NO_WORKSPACE
     workspace_priority: int = 0
     is_nested: bool = False
@@ -91,11 +91,11 @@
             not self.is_nested,
             self.workspace_priority,
             self.priority,
-            self.is_hasty,
+            self.is_early_retry,
         )
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class AdmissionDecision(msgspec.Struct, frozen=True):
     """Whether a call is admitted, and the values behind that decision.
 
     Parameters
@@ -150,13 +150,13 @@
         return self.demand_percent * 0.5 ** (age_s / DEMAND_HALF_LIFE_S)
 
 
-class LevelTable:
+class AdmissionController:
     """Admits or rejects the calls of one daemon to all target sets."""
 
     def __init__(self):
         self._sets: dict[base.TargetSetName, _SetState] = {}
 
-    def take_demand(
+    def add_demand_report(
         self,
         target_set: base.TargetSetName,
         demand_percent: float,
@@ -180,12 +180,14 @@
         )
         state.demand_at_s = now_s
 
-    def judge(self, call: AskedCall, now_s: float) -> Verdict:
+    def decide(
+        self, call: AdmissionRequest, now_s: float
+    ) -> AdmissionDecision:
         """Count a call, and decide whether it is admitted.
 
         Parameters
         ----------
-        call : AskedCall
+        call : AdmissionRequest
             Call to admit or reject.
         now_s : float
             Time of the event loop.
@@ -199,20 +201,20 @@
             )
         work_ms = call.work_ms * state.decay.find_weight(now_s)
         rank_work.add(call.workspace, work_ms)
-        verdict = self._decide(state, rank_work, call, work_ms, now_s)
-        if verdict.is_admitted:
+        decision = self._decide(state, rank_work, call, work_ms, now_s)
+        if decision.is_admitted:
             state.accepted_ms += work_ms
-        return verdict
+        return decision
 
-    def note_refused(self, call: AskedCall, begun_s: float) -> None:
+    def note_refused(self, call: AdmissionRequest, begun_s: float) -> None:
         """Note that the gates refused an admitted call.
 
         Parameters
         ----------
-        call : AskedCall
-            The call as passed to `judge`.
+        call : AdmissionRequest
+            The call as passed to `decide`.
         begun_s : float
-            When `judge` admitted it.
+            When `decide` admitted it.
         """
         state = self._sets.get(call.target_set)
         if state is None or not state.accepted_ms:
@@ -236,14 +238,14 @@
     def _decide(
         state: _SetState,
         rank_work: _fair_share.WorkspaceWork,
-        call: AskedCall,
+        call: AdmissionRequest,
         work_ms: float,
         now_s: float,
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Decide whether a call that has been counted is admitted."""
         demand_percent = state.find_demand_percent(now_s)
         if call.is_nested or demand_percent < OVERLOAD_PERCENT:
-            return Verdict(demand_percent=demand_percent)
+            return AdmissionDecision(demand_percent=demand_percent)
         ahead_ms = sum(
             item.total_ms
             for rank, item in state.requested.items()
@@ -258,10 +260,10 @@
         share = min(1.0, max(min_share, level_ms / requested_ms))
         hashed = zlib.crc32(call.request_id.encode()) / HASH_RANGE
         age_ms = int((now_s - state.demand_at_s) * 1000)
-        return Verdict(hashed < share, share, demand_percent, age_ms)
+        return AdmissionDecision(hashed < share, share, demand_percent, age_ms)
 
 
-def _find_min_share(state: _SetState, call: AskedCall) -> float:
+def _find_min_share(state: _SetState, call: AdmissionRequest) -> float:
     """Return the share of the calls that is admitted in any case."""
     if call.workspace == base.NO_WORKSPACE:
         return PROBE_SHARE
--- a/sedgering/overload/_retry_after.py
+++ b/sedgering/overload/_retry_after.py
@@ -1,6 +1,6 @@
 """Retry times of refused callers, and detection of early retries."""
 
-__all__ = ['REJECTED_AFTER_SHARES', 'RETRY_AFTER_SHARES', 'is_hasty']
+__all__ = ['REJECTED_AFTER_SHARES', 'RETRY_AFTER_SHARES', 'is_early_retry']
 
 #: Bounds of the time after which a refused caller retries, as shares of the
 #: time left to its deadline.  Callers honour up to a third; the spread keeps
@@ -15,7 +15,7 @@
 COMPLIANT_SHARE = 0.1
 
 
-def is_hasty(waited_ms: int, longest_ms: int) -> bool:
+def is_early_retry(waited_ms: int, longest_ms: int) -> bool:
     """Return whether a caller retried sooner than it was told.
 
     Parameters
--- a/sedgering/overload/_shares.py
+++ b/sedgering/overload/_shares.py
@@ -6,7 +6,7 @@
 from sedgering.overload import _decay
 from sedgering.overload import _fair_share
 
-__all__ = ['RoomShares', 'Standing']
+__all__ = ['ShareStanding', 'WorkspaceShares']
 
 #: Time constant over which shares are met.  It spans several work times, so
 #: that a workspace that sends too many calls is distinguished from one that
@@ -24,7 +24,7 @@
 MIN_CALLS = 3.0
 
 
-class Standing(enum.IntEnum):
+class ShareStanding(enum.IntEnum):
     """How a workspace was served lately; smaller values go first."""
 
     #: Served far less often than the others.
@@ -34,7 +34,7 @@
     OVER = 2
 
 
-class RoomShares:
+class WorkspaceShares:
     """Requested and served work of each workspace at one gate."""
 
     def __init__(self):
@@ -42,7 +42,7 @@
         self._served = _fair_share.WorkspaceWork()
         self._decay = _decay.ForwardDecay(TIME_CONSTANT_S)
 
-    def note_asked(
+    def note_requested(
         self, workspace: base.WorkspaceName, work_ms: float, now_s: float
     ) -> None:
         """Count a call that has arrived."""
@@ -54,9 +54,9 @@
         """Count a call that got a place."""
         self._add(self._served, workspace, work_ms, now_s)
 
-    def judge(
+    def find_standing(
         self, workspace: base.WorkspaceName, work_ms: float, now_s: float
-    ) -> Standing:
+    ) -> ShareStanding:
         """Return how a workspace was served lately.
 
         Parameters
@@ -69,19 +69,19 @@
             Time of the event loop.
         """
         if workspace == base.NO_WORKSPACE:
-            return Standing.USUAL
+            return ShareStanding.USUAL
         requested_ms = self._requested.find_work_ms(workspace)
         served_ms = self._served.find_work_ms(workspace)
         min_ms = MIN_CALLS * work_ms * self._decay.find_weight(now_s)
         if requested_ms >= min_ms and self._is_starved(
             requested_ms, served_ms
         ):
-            return Standing.STARVED
+            return ShareStanding.STARVED
         level_ms = _fair_share.find_fair_level(
             self._requested.list_work_ms(), self._served.total_ms
         )
         is_over = served_ms > OVER_FACTOR * level_ms
-        return Standing.OVER if is_over else Standing.USUAL
+        return ShareStanding.OVER if is_over else ShareStanding.USUAL
 
     def _is_starved(self, requested_ms: float, served_ms: float) -> bool:
         total_share = self._served.total_ms / self._requested.total_ms
