--- a/benchmarks/bench_choice.py
+++ b/benchmarks/bench_choice.py
@@ -46,7 +46,7 @@
     peers = mesh.PeerTable(mesh.MeshSettings())
     for row in rows:
         report = mesh.LoadReport(5, 1, 13, 80, 60)
-        peers.take_report(peers.find(row), report, ROUTE, 0.0)
+        peers.record_report(peers.find(row), report, ROUTE, 0.0)
     rng = random.Random(1)
 
     def choose(members) -> None:
@@ -56,13 +56,13 @@
     def choose_near() -> None:
         near, far = _choice.split_candidates(rows, 'hall-0', rng)
         costs = mesh.CallCosts(peers, 'hall-0', ROUTE, 0, False, 0.1, GOAL_MS)
-        mesh.choose_near_first(near, far, (), costs, rng)
+        mesh.choose_local_first(near, far, (), costs, rng)
 
     return {
         'near': time_us(choose_near, choices),
         'all': time_us(lambda: choose(rows), choices),
         'drawn': time_us(
-            lambda: choose(_choice.draw_candidates(rows, 'hall-0', rng)),
+            lambda: choose(_choice.sample_candidates(rows, 'hall-0', rng)),
             choices,
         ),
     }
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -177,7 +177,7 @@
     row = testing.make_member_row(host, link_mbps=8)
     peer = peers.find(row)
     load = mesh.LoadReport(0, 0, 9, 200, 200, **report)
-    peers.take_report(peer, load, ROUTE, 0.0)
+    peers.record_report(peer, load, ROUTE, 0.0)
     return row
 
 
@@ -263,7 +263,7 @@
     async def ping(peer):
         started_s = loop.time()
         await asyncio.sleep(0.02)
-        await peer.ask_for_life()
+        await peer.ping()
         return loop.time() - started_s
 
     async def run():
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -230,13 +230,13 @@
         for row in rows:
             load = mesh.LoadReport(0, 0, 3, work_ms, work_ms)
             peer = self.peers.find(row)
-            self.peers.take_report(peer, load, SET, 0.0)
+            self.peers.record_report(peer, load, SET, 0.0)
         return rows
 
     def choose(self, left_ms: int, seed: int = 1) -> str | None:
         """Choose for a call; return the host."""
         costs = mesh.CallCosts(self.peers, 'hall', SET, 0, False, 0.0, left_ms)
-        peer = mesh.choose_near_first(
+        peer = mesh.choose_local_first(
             self.near,
             self.far,
             self.tried,
@@ -282,7 +282,7 @@
     subject.tried = {row.host for row in subject.near}
     subject.busy = subject.peers.find(subject.near[0])
     load = mesh.LoadReport(3, 1, 3, 100, 100)
-    subject.peers.take_report(subject.busy, load, SET, 0.0)
+    subject.peers.record_report(subject.busy, load, SET, 0.0)
 
 
 @then('a call with {left_ms:d} ms left that can wait near goes nowhere else')
@@ -382,7 +382,7 @@
     load = mesh.LoadReport(
         0, 0, 3, work_ms, work_ms, slowness_percent=round(speed.percent)
     )
-    peers.take_report(peer, load, SET, 0.0)
+    peers.record_report(peer, load, SET, 0.0)
     costs = [
         mesh.CallCosts(peers, 'hall', SET, 0, False, now_s)
         for now_s in (0.0, LATER_S)
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -234,7 +234,7 @@
     load = _hop.decode_answer(index_response(_hop.encode_answer(answer))).load
     peers = mesh.PeerTable(mesh.MeshSettings())
     peer = peers.find(testing.make_member_row('near', data_centre='hall'))
-    peers.take_report(peer, load, ROUTE, 0.0)
+    peers.record_report(peer, load, ROUTE, 0.0)
     return peers, peer
 
 
@@ -267,7 +267,9 @@
 @then('a caller with a goal of {goal_ms:d} ms may still meet it')
 def step_may_meet(context, goal_ms):
     peers, _peer = make_reported_peer(context)
-    assert goal_ms > peers.typical_work_ms(ROUTE) * _chooser.HOPE_SHARE
+    assert (
+        goal_ms > peers.typical_work_ms(ROUTE) * _chooser.FEASIBLE_GOAL_SHARE
+    )
 
 
 def end_calls(subject, count, result, elapsed_ms):
@@ -319,7 +321,7 @@
 
 @when('candidates are drawn in hall')
 def step_draw(context):
-    context.drawn = _choice.draw_candidates(
+    context.drawn = _choice.sample_candidates(
         context.members, base.DataCentre('hall'), random.Random(1)
     )
 
@@ -417,7 +419,7 @@
     """Let a target report its work times with an answer at 0 s."""
     peer = context.peers.find(context.rows[host])
     load = mesh.LoadReport(0, 0, 2, mean_ms, work_ms)
-    context.peers.take_report(peer, load, route, 0.0)
+    context.peers.record_report(peer, load, route, 0.0)
 
 
 @when('"{host}" reports 30 ms of another route and {work_ms:d} ms of this one')
@@ -436,7 +438,7 @@
     context.peers = mesh.PeerTable(mesh.MeshSettings())
     near = context.peers.find(context.rows['near'])
     load = mesh.LoadReport(0, 0, 2, 100, 100, percent)
-    context.peers.take_report(near, load, ROUTE, 0.0)
+    context.peers.record_report(near, load, ROUTE, 0.0)
 
 
 @given(
@@ -468,7 +470,7 @@
 def step_tells_queue(context, host, running, waiting, nested, work_ms):
     peer = context.peers.find(context.rows[host])
     load = mesh.LoadReport(running, waiting, 2, work_ms, 10, 0, nested)
-    context.peers.take_report(peer, load, ROUTE, 0.0)
+    context.peers.record_report(peer, load, ROUTE, 0.0)
 
 
 @then('a nested call of 10 ms goes to "{host}"')
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -306,7 +306,7 @@
     rows = random.Random().sample(rows, len(rows))
     peers = _peers.PeerTable(mesh.MeshSettings())
     return {
-        fingerprint: _choice.choose_trial_place(
+        fingerprint: _choice.choose_suspect_target(
             rows, peers, fingerprint, 1.0
         ).row.host
         for fingerprint in map(make_fingerprint, range(SUSPECTS))
--- a/features/steps/search_steps.py
+++ b/features/steps/search_steps.py
@@ -59,7 +59,7 @@
     peers = mesh.PeerTable(mesh.MeshSettings())
     context.peer = peers.find(testing.make_member_row('h1'))
     load = mesh.LoadReport(running, waiting, slots, 100, 100)
-    peers.take_report(context.peer, load, SET, 1.0)
+    peers.record_report(context.peer, load, SET, 1.0)
 
 
 @then('{age:d} ms later it is {known} to be full')
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -241,8 +241,8 @@
     context.stored = testing.make_member_row('h0', target='i-1')
     context.told = testing.make_member_row('h0', target='i-2')
     context.member_table.replace({'h0': context.stored})
-    assert context.member_table.take_told(context.told)
-    assert not context.member_table.take_told(context.told)
+    assert context.member_table.apply_reported_row(context.told)
+    assert not context.member_table.apply_reported_row(context.told)
 
 
 @then('the told row holds while the stored one stays')
@@ -266,7 +266,7 @@
 @then('a host without a row is not believed')
 def step_not_believed(context):
     context.member_table.replace({})
-    assert not context.member_table.take_told(context.told)
+    assert not context.member_table.apply_reported_row(context.told)
     assert not context.member_table.members
 
 
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -184,7 +184,7 @@
     context.fleet.replace({row.host: row})
     peer = context.peers.find(row)
     load = mesh.LoadReport(2, 2, 1, 900, 900)
-    context.peers.take_report(peer, load, ROUTE, 0.0)
+    context.peers.record_report(peer, load, ROUTE, 0.0)
     peer.close(0.0, mesh.RefusalReason.LEAVING)
     peer.fail(0.0, 'test')
     context.old = peer
@@ -227,7 +227,7 @@
 @when('a daemon reports the same target born at {born:d}')
 def step_reported(context, born):
     row = testing.make_member_row('near', born_ms=born)
-    context.fleet.take_told(row)
+    context.fleet.apply_reported_row(row)
 
 
 @then('the member table has it born at {born:d}')
--- a/sedgering/mesh/__init__.py
+++ b/sedgering/mesh/__init__.py
@@ -8,9 +8,9 @@
 from sedgering.mesh._budget import RetryWindow
 from sedgering.mesh._callers import CallerTable
 from sedgering.mesh._choice import CallCosts
+from sedgering.mesh._choice import choose_local_first
 from sedgering.mesh._choice import choose_member
-from sedgering.mesh._choice import choose_near_first
-from sedgering.mesh._choice import WeightedTurns
+from sedgering.mesh._choice import WeightedRoundRobin
 from sedgering.mesh._config import AcceptedConfig
 from sedgering.mesh._config import ConfigHolder
 from sedgering.mesh._crash_records import CrashEvidence
@@ -83,8 +83,8 @@
     'TargetState',
     'Ticket',
     'UNKNOWN_BORN_MS',
-    'WeightedTurns',
+    'WeightedRoundRobin',
+    'choose_local_first',
     'choose_member',
-    'choose_near_first',
     'make_mesh_daemon',
 ]
--- a/sedgering/mesh/_choice.py
+++ b/sedgering/mesh/_choice.py
@@ -13,11 +13,11 @@
 
 __all__ = [
     'CallCosts',
-    'WeightedTurns',
+    'WeightedRoundRobin',
+    'choose_local_first',
     'choose_member',
-    'choose_near_first',
-    'choose_trial_place',
-    'draw_candidates',
+    'choose_suspect_target',
+    'sample_candidates',
     'split_candidates',
 ]
 
@@ -46,7 +46,7 @@
 MAX_LOCAL_CANDIDATES = 8
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin over the target sets of a route.
 
     Each target set stays within one request of its share. Random draws
@@ -197,7 +197,7 @@
         return transfer_ms + max(0.0, wait_ms - work_ms)
 
 
-def draw_candidates(
+def sample_candidates(
     members: Sequence[_messages.MemberRow],
     data_centre: base.DataCentre,
     rng: random.Random,
@@ -242,7 +242,7 @@
 ) -> tuple[Sequence[_messages.MemberRow], Sequence[_messages.MemberRow]]:
     """Sample local and remote targets as two separate sequences.
 
-    Together at most as many as :func:`draw_candidates` samples.
+    Together at most as many as :func:`sample_candidates` samples.
 
     Parameters
     ----------
@@ -260,7 +260,7 @@
     return near, far
 
 
-def choose_near_first(
+def choose_local_first(
     near: Sequence[_messages.MemberRow],
     far: Sequence[_messages.MemberRow],
     tried: Collection[base.HostId],
@@ -361,7 +361,7 @@
     return best
 
 
-def choose_trial_place(
+def choose_suspect_target(
     members: Sequence[_messages.MemberRow],
     peers: _peers.PeerTable,
     fingerprint: base.Fingerprint,
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -16,7 +16,7 @@
 
 #: Share of the typical work time that must be left until the goal; with less,
 #: the goal counts as out of reach.
-HOPE_SHARE = 0.7
+FEASIBLE_GOAL_SHARE = 0.7
 #: Local hosts that are asked for a free slot before a remote one is
 #: considered: when half of the hosts are full, two probes find a free slot
 #: more often than not.
@@ -92,7 +92,7 @@
     def _now_s(self) -> float:
         return self.state.side.gate.now_s()
 
-    def note_asked(self, host: base.HostId) -> None:
+    def record_attempt(self, host: base.HostId) -> None:
         """Record that an attempt goes to a host."""
         self.asked_hosts.append(host)
         self.tried.add(host)
@@ -145,7 +145,7 @@
         All daemons choose the same target, so that a request that crashes
         targets crashes one after the other, never several at once.
         """
-        peer = _choice.choose_trial_place(
+        peer = _choice.choose_suspect_target(
             self.state.fleet.by_set.get(self.call.target_set, ()),
             self.state.peers,
             self.request_status.fingerprint,
@@ -208,7 +208,7 @@
         busy = None
         if self.search.is_on and self.search.probes >= LOCAL_PROBES_LIMIT:
             busy = self._choose_shortest_wait()
-        peer = _choice.choose_near_first(
+        peer = _choice.choose_local_first(
             near, far, self.tried, self.make_costs(), self.state.rng, busy
         )
         if peer is None and busy is None:
@@ -240,7 +240,7 @@
         self, members: Sequence[_messages.MemberRow]
     ) -> _peers.Peer | None:
         """Choose among a sample of a target set from all data centres."""
-        candidates = _choice.draw_candidates(
+        candidates = _choice.sample_candidates(
             members, self.state.identity.data_centre, self.state.rng
         )
         peer = self._choose_among(candidates)
@@ -279,4 +279,4 @@
         """Return the time left until the goal; 0 when it cannot be met."""
         goal_ms = int((self.call.goal_s - now_s) * 1000)
         typical_ms = self.state.peers.typical_work_ms(self.call.route)
-        return goal_ms if goal_ms > typical_ms * HOPE_SHARE else 0
+        return goal_ms if goal_ms > typical_ms * FEASIBLE_GOAL_SHARE else 0
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -229,15 +229,15 @@
         if self.pause.find_lag_s():
             return
         peers = self.state.peers
-        for peer in peers.list_unheard(now_s):
-            self._start_task(peer.ask_for_life())
-        peers.abandon_silent(now_s)
+        for peer in peers.list_silent(now_s):
+            self._start_task(peer.ping())
+        peers.mark_silent(now_s)
 
     def take_config(self, config: _config.AcceptedConfig) -> None:
         """Apply a configuration version unless it is outdated."""
         if self.state.config.apply(config):
             routes = config.bundle.routes
-            self.state.turns.retain(routes)
+            self.state.route_weights.retain(routes)
             names = frozenset(route.name for route in routes)
             self.state.callers.retain(names)
             self.state.peers.retain_routes(names)
@@ -445,7 +445,7 @@
         side.refresh_gate()
         side.row = self._make_row()
         if side.row is not None:
-            self.state.take_told(side.row)
+            self.state.apply_reported_row(side.row)
         self.source.publish(side.row)
 
     def _make_row(self) -> _messages.MemberRow | None:
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -135,7 +135,7 @@
         self.request_status = _request_status.RequestStatus(
             self.request, self.state.crashes
         )
-        self.target_set = self.state.turns.choose(self.route)
+        self.target_set = self.state.route_weights.choose(self.route)
         try:
             self._set_times()
         except ValueError:
@@ -312,7 +312,7 @@
         """Start an attempt at a target."""
         if not self.chooser.asked_hosts:
             self.state.budget.note_request(self.target_set, self._now_s)
-        self.chooser.note_asked(peer.row.host)
+        self.chooser.record_attempt(peer.row.host)
         progress = _progress.AttemptProgress(peer.row.host, self._now_s)
         expected_ms = self.chooser.make_costs().make_offer(peer).expected_ms
         sent = self.state.sender.begin(
@@ -473,7 +473,7 @@
     ) -> bool:
         """Apply a host's row of its target; return whether to ask it again."""
         member = answer.member
-        self.state.take_told(member)
+        self.state.apply_reported_row(member)
         is_other = member.lifetime != peer.row.lifetime
         return is_other and self.chooser.uncounted_hops < UNCOUNTED_HOPS_LIMIT
 
--- a/sedgering/mesh/_fleet.py
+++ b/sedgering/mesh/_fleet.py
@@ -74,7 +74,7 @@
         self._stored = members
         return self._apply({**members, **self._reported})
 
-    def take_told(self, row: _messages.MemberRow) -> bool:
+    def apply_reported_row(self, row: _messages.MemberRow) -> bool:
         """Accept the row that a daemon reports of the target beside it.
 
         Returns
--- a/sedgering/mesh/_outbound.py
+++ b/sedgering/mesh/_outbound.py
@@ -24,7 +24,7 @@
         self.state = state
         self.pause = pause
         #: Requests without an answer yet.
-        self.under_way: set[_exchange.Exchange] = set()
+        self.in_flight: set[_exchange.Exchange] = set()
 
     def find_limits(self) -> transport.CallerLimits:
         """Return the caller limits set by the operator."""
@@ -35,8 +35,8 @@
         if self.pause.find_lag_s():
             request.received_s -= await self.pause.settle()
         exchange = _exchange.Exchange(request, self.state)
-        self.under_way.add(exchange)
+        self.in_flight.add(exchange)
         try:
             return await exchange.run()
         finally:
-            self.under_way.discard(exchange)
+            self.in_flight.discard(exchange)
--- a/sedgering/mesh/_peers.py
+++ b/sedgering/mesh/_peers.py
@@ -290,7 +290,7 @@
         """Discard a future returned by :meth:`watch_silence`."""
         self._silence_waiters.discard(future)
 
-    async def ask_for_life(self) -> None:
+    async def ping(self) -> None:
         """Ping the daemon."""
         self.is_ping_pending = True
         try:
@@ -336,7 +336,7 @@
         self.pool.put(connection)
         return response
 
-    def take_report(
+    def record_report(
         self,
         report: _messages.LoadReport | None,
         route: base.RouteName,
@@ -458,7 +458,7 @@
         """Return the mean work time of a route over all targets."""
         return self._typical_ms.get(route, DEFAULT_WORK_MS)
 
-    def take_report(
+    def record_report(
         self,
         peer: Peer,
         report: _messages.LoadReport | None,
@@ -466,7 +466,7 @@
         now_s: float,
     ) -> None:
         """Record the load that a peer reported with an answer to a call."""
-        peer.take_report(report, route, now_s)
+        peer.record_report(report, route, now_s)
         if report is None or not report.route_work_ms:
             return
         _note_typical(self._typical_ms, route, report.route_work_ms)
@@ -515,7 +515,7 @@
             self.mesh_settings.peer_idle_ms / 1000,
         )
 
-    def abandon_silent(self, now_s: float) -> None:
+    def mark_silent(self, now_s: float) -> None:
         """Mark daemons and targets that are silent for too long."""
         limit_ms = self.mesh_settings.silence_ms
         for peer in self._list_busy():
@@ -536,7 +536,7 @@
         """
         return [peer for peer in self._peers.values() if peer.in_flight]
 
-    def list_unheard(self, now_s: float) -> list[Peer]:
+    def list_silent(self, now_s: float) -> list[Peer]:
         """Return silent peers whose daemons should be pinged."""
         wait_ms = self.mesh_settings.silence_ms * PING_SILENCE_SHARE
         return [
--- a/sedgering/mesh/_sender.py
+++ b/sedgering/mesh/_sender.py
@@ -232,7 +232,7 @@
         answer: _messages.CallAnswer,
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.peers.take_report(peer, answer.load, call.route, now_s)
+        self.peers.record_report(peer, answer.load, call.route, now_s)
 
     async def _ask(
         self,
--- a/sedgering/mesh/_shutdown_log.py
+++ b/sedgering/mesh/_shutdown_log.py
@@ -77,7 +77,7 @@
         now_s = asyncio.get_running_loop().time()
         oldest = heapq.nsmallest(
             LISTED_REQUESTS,
-            self.outbound.under_way,
+            self.outbound.in_flight,
             key=lambda item: item.request.received_s,
         )
         cpu_s, self._cpu_s = self._cpu_s, time.process_time()
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -78,7 +78,7 @@
         self.decisions = decisions
         self.rng = rng
         self.sender = _sender.CallSender(identity, side, peers)
-        self.turns = _choice.WeightedTurns()
+        self.route_weights = _choice.WeightedRoundRobin()
         self.callers = _callers.CallerTable()
         self.search_stats = _search.SearchStats()
         self.admission = overload.AdmissionController()
@@ -109,7 +109,7 @@
             mesh_settings.revoke_strict, mesh_settings.revoke_ms / 1000
         )
 
-    def take_told(self, row: _messages.MemberRow) -> bool:
+    def apply_reported_row(self, row: _messages.MemberRow) -> bool:
         """Apply a daemon's report of its local target.
 
         Returns
@@ -117,7 +117,7 @@
         bool
             Whether the report was new.
         """
-        if not self.fleet.take_told(row):
+        if not self.fleet.apply_reported_row(row):
             return False
         self.note_started(row)
         return True
