--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -10,7 +10,7 @@
 from behave import when
 
 from sedgering import mesh
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _choice
 from sedgering.mesh import _peers
 from sedgering import ports
@@ -147,30 +147,32 @@
 
 
 @given('answers of {size:d} bytes on a route, over a link of {mbps:d} Mbit/s')
-def step_room(context, mbps, size):
+def step_answer_link(context, mbps, size):
     loop = ManualLoop()
     pacer = transport.make_pacer(mbps, loop)
-    context.room = _answer_room.AnswerRoom(pacer, loop.time)
-    context.room.release(ROUTE, context.room.reserve(ROUTE), size)
+    context.admission = _answer_admission.AnswerAdmission(pacer, loop.time)
+    context.admission.release(ROUTE, context.admission.reserve(ROUTE), size)
 
 
 @given('{count:d} of them expected')
 def step_expected(context, count):
-    context.reservations = [context.room.reserve(ROUTE) for _ in range(count)]
+    context.reservations = [
+        context.admission.reserve(ROUTE) for _ in range(count)
+    ]
 
 
 @when('{count:d} of them end without an answer')
 def step_end(context, count):
     for reserved_bytes in context.reservations[:count]:
-        context.room.release(ROUTE, reserved_bytes, None)
+        context.admission.release(ROUTE, reserved_bytes, None)
 
 
 @then(
     'a call with {work:d} ms of work and {goal:d} ms until its goal {result}'
 )
 def step_admission(context, work, goal, result):
-    is_admitted = context.room.can_send_in_time(ROUTE, work, goal / 1000)
-    assert is_admitted is (result == 'is admitted'), context.room.wait_ms
+    is_admitted = context.admission.can_send_in_time(ROUTE, work, goal / 1000)
+    assert is_admitted is (result == 'is admitted'), context.admission.wait_ms
 
 
 def _make_peer(peers, host, **report):
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -6,7 +6,7 @@
 from behave import then
 from behave import when
 
-from sedgering.mesh import _room
+from sedgering.mesh import _link_reservations
 from sedgering import testing
 
 
@@ -15,11 +15,13 @@
 
     def __init__(self, mbps: int):
         self.now_s = 0.0
-        self.room = _room.LinkRoom(mbps, lambda: self.now_s)
+        self.reservations = _link_reservations.LinkReservations(
+            mbps, lambda: self.now_s
+        )
 
     def reserve(self, size: int, times: int) -> int:
         """Reserve several times; return how many were granted."""
-        return sum(self.room.reserve(size) for _ in range(times))
+        return sum(self.reservations.reserve(size) for _ in range(times))
 
 
 @given('a host with a link of {mbps:d} Mbit/s')
@@ -29,30 +31,32 @@
 
 @then('a body of {size:d} bytes is sent there {how}')
 def step_sent(context, size, how):
-    assert _room.needs_room(context.row, size) is (how == 'with a reservation')
+    assert _link_reservations.needs_reservation(context.row, size) is (
+        how == 'with a reservation'
+    )
 
 
 @given('reservations on a link of {mbps:d} Mbit/s')
-def step_room(context, mbps):
-    context.room = LinkSubject(mbps)
+def step_link(context, mbps):
+    context.link = LinkSubject(mbps)
 
 
 @then('{count:d} of {times:d} reservations of {size:d} bytes are granted')
 def step_reservations(context, size, count, times):
-    assert context.room.reserve(size, times) == count
+    assert context.link.reserve(size, times) == count
     context.size = size
 
 
 @then('one more after one of them has arrived')
 def step_one_more(context):
-    context.room.room.note_arrival(context.size)
-    assert context.room.reserve(context.size, 2) == 1
+    context.link.reservations.release(context.size)
+    assert context.link.reserve(context.size, 2) == 1
 
 
 @then('{count:d} more once the reservations have expired')
 def step_run_out(context, count):
-    context.room.now_s += _room.RESERVATION_TIMEOUT_S
-    assert context.room.reserve(context.size, 5) == count
+    context.link.now_s += _link_reservations.RESERVATION_TIMEOUT_S
+    assert context.link.reserve(context.size, 5) == count
 
 
 class UploadSubject:
@@ -76,8 +80,8 @@
     def fill(self, hosts) -> None:
         """Reserve the whole capacity of the links of hosts."""
         for host in hosts:
-            room = host.daemon.state.side.room
-            self.fleet.run(_reserve_all(room))
+            reservations = host.daemon.state.side.link_reservations
+            self.fleet.run(_reserve_all(reservations))
 
     def upload(self, number: int, size: int):
         """Upload one body from the first host."""
@@ -89,9 +93,11 @@
         )
 
 
-async def _reserve_all(room: _room.LinkRoom) -> None:
-    room.now_s = lambda: 0.0
-    assert room.reserve(room.limit_bytes)
+async def _reserve_all(
+    reservations: _link_reservations.LinkReservations,
+) -> None:
+    reservations.now_s = lambda: 0.0
+    assert reservations.reserve(reservations.limit_bytes)
 
 
 @given('a mesh of {hosts:d} hosts with links of {mbps:d} Mbit/s')
--- a/sedgering/mesh/_answer_room.py
+++ b/sedgering/mesh/_answer_admission.py
@@ -12,7 +12,7 @@
 from sedgering import base
 from sedgering import transport
 
-__all__ = ['AnswerRoom']
+__all__ = ['AnswerAdmission']
 
 #: Answers that take less time on the link are not limited.
 MIN_TRANSFER_MS = 10.0
@@ -24,7 +24,7 @@
 MAX_LATE_BACKLOG_MS = 150.0
 
 
-class AnswerRoom:
+class AnswerAdmission:
     """Tracks answers that are expected and those that wait to be sent.
 
     Parameters
--- a/sedgering/mesh/_backlog.py
+++ b/sedgering/mesh/_backlog.py
@@ -1,6 +1,6 @@
 """Reports answers that are ready and wait for the link of this host."""
 
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering import transport
 
 __all__ = ['AnswerBacklog']
@@ -21,15 +21,17 @@
     ----------
     service : Service
         Service that answers peers.
-    room : AnswerRoom
+    answer_admission : AnswerAdmission
         Holds the pacer of the link.
     """
 
     def __init__(
-        self, service: transport.Service, room: _answer_room.AnswerRoom
+        self,
+        service: transport.Service,
+        answer_admission: _answer_admission.AnswerAdmission,
     ):
         self.service = service
-        self.room = room
+        self.answer_admission = answer_admission
 
     def describe(self) -> str:
         """Describe the delayed answers; empty when none is delayed."""
@@ -39,7 +41,8 @@
             return ''
         return (
             f'{load.answers} wait for the link: {load.held_bytes} bytes held,'
-            f' {in_sockets} in sockets, {self.room.backlog_ms:.0f} ms'
+            f' {in_sockets} in sockets,'
+            f' {self.answer_admission.backlog_ms:.0f} ms'
         )
 
     def find_gauges(self) -> dict[str, float]:
@@ -49,5 +52,5 @@
             'peer_answers_waiting': load.answers,
             'peer_answers_held_bytes': load.held_bytes,
             'peer_answers_unacknowledged_bytes': load.unacknowledged_bytes,
-            'peer_answers_wait_ms': round(self.room.backlog_ms),
+            'peer_answers_wait_ms': round(self.answer_admission.backlog_ms),
         }
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -9,7 +9,7 @@
 
 from sedgering import base
 from sedgering import exceptions
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _backlog
 from sedgering.mesh import _budget
 from sedgering.mesh import _config
@@ -21,6 +21,7 @@
 from sedgering.mesh import _gate
 from sedgering.mesh import _inbound
 from sedgering.mesh import _link
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
 from sedgering.mesh import _outbound
 from sedgering.mesh import _pause
@@ -28,7 +29,6 @@
 from sedgering.mesh import _probe
 from sedgering.mesh import _relay
 from sedgering.mesh import _rollout_driver
-from sedgering.mesh import _room
 from sedgering.mesh import _settings
 from sedgering.mesh import _shutdown_log
 from sedgering.mesh import _source
@@ -109,10 +109,10 @@
         self.follower = _follow.RelayFollower(
             identity, state.fleet, state.peers, source
         )
-        self.inbound.pacer = state.side.answer_room.pacer
+        self.inbound.pacer = state.side.answer_admission.pacer
         state.side.link.watch(self.inbound, self.outbound)
         self.backlog = _backlog.AnswerBacklog(
-            self.inbound, state.side.answer_room
+            self.inbound, state.side.answer_admission
         )
         self.leave_log = _shutdown_log.ShutdownLog(
             self.outbound, self.inbound, self.pause, state.decisions.counts
@@ -242,7 +242,7 @@
             self.state.callers.retain(names)
             self.state.peers.retain_routes(names)
             self.state.side.gate.work.retain(names)
-            self.state.side.answer_room.retain(names)
+            self.state.side.answer_admission.retain(names)
             target_sets = frozenset(
                 item.name for item in config.bundle.target_sets
             )
@@ -596,8 +596,8 @@
         _target.LocalTarget(),
         gate,
         _link.LinkMeter(identity.link_mbps, now_s),
-        _room.LinkRoom(identity.link_mbps, now_s),
-        _answer_room.AnswerRoom(pacer, now_s),
+        _link_reservations.LinkReservations(identity.link_mbps, now_s),
+        _answer_admission.AnswerAdmission(pacer, now_s),
     )
     decisions = _decisions.DecisionLog(
         mesh_settings.success_log_every, mesh_settings.log_lines_per_s, now_s
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -11,12 +11,12 @@
 from sedgering.mesh import _crash_notice
 from sedgering.mesh import _evidence_hop
 from sedgering.mesh import _hop
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
 from sedgering.mesh import _pause
 from sedgering.mesh import _quota_hop
 from sedgering.mesh import _quotas
 from sedgering.mesh import _relay
-from sedgering.mesh import _room
 from sedgering.mesh import _target_side
 from sedgering import transport
 
@@ -104,10 +104,10 @@
             return self._take_notice(request)
         if _evidence_hop.is_question(request):
             return self._answer_evidence_query(request)
-        body_bytes = _room.find_room_bytes(request)
+        body_bytes = _link_reservations.find_reservation_bytes(request)
         if body_bytes is not None:
             return _hop.encode_answer(
-                self.side.answer_room_request(body_bytes)
+                self.side.answer_reservation_request(body_bytes)
             )
         return self._refuse_unreadable(_hop.HopError('neither call nor poll'))
 
@@ -121,7 +121,7 @@
     async def _run(self, call: _messages.TargetCall) -> transport.Response:
         """Run a call and encode its result."""
         self.note_version(call.version)
-        self.side.room.note_arrival(len(call.request.body))
+        self.side.link_reservations.release(len(call.request.body))
         if self.pause.find_lag_s():
             lag_ms = int(1000 * await self.pause.settle())
             call.remaining_ms = max(0, call.remaining_ms - lag_ms)
--- a/sedgering/mesh/_room.py
+++ b/sedgering/mesh/_link_reservations.py
@@ -10,7 +10,12 @@
 from sedgering.mesh import _messages
 from sedgering import transport
 
-__all__ = ['LinkRoom', 'encode_room_request', 'find_room_bytes', 'needs_room']
+__all__ = [
+    'LinkReservations',
+    'encode_reservation_request',
+    'find_reservation_bytes',
+    'needs_reservation',
+]
 
 #: Limit of the bodies in transit, as time on the link: a call that arrives
 #: behind them still has most of the time until its goal.
@@ -25,7 +30,7 @@
 HEADER = 'sedgering-room'
 
 
-def needs_room(row: _messages.MemberRow, body_bytes: int) -> bool:
+def needs_reservation(row: _messages.MemberRow, body_bytes: int) -> bool:
     """Return whether a body needs a reservation on the link of a host."""
     if not row.link_mbps:
         return False
@@ -34,19 +39,19 @@
     )
 
 
-def encode_room_request(body_bytes: int) -> bytes:
+def encode_reservation_request(body_bytes: int) -> bytes:
     """Encode a request for a reservation."""
     headers = [('Host', 'peer'), (HEADER, str(body_bytes))]
     return transport.encode_request(transport.Request('GET', '/', headers))
 
 
-def find_room_bytes(request: transport.Request) -> int | None:
+def find_reservation_bytes(request: transport.Request) -> int | None:
     """Return the requested size in bytes; None for any other request."""
     value = request.find(HEADER)
     return int(value) if value is not None and value.isdigit() else None
 
 
-class LinkRoom:
+class LinkReservations:
     """Reservations for bodies that peers are about to send to this host.
 
     Parameters
@@ -94,7 +99,7 @@
         )
         return True
 
-    def note_arrival(self, body_bytes: int) -> None:
+    def release(self, body_bytes: int) -> None:
         """Release the reservation of a body that has arrived."""
         for number, (_until_s, size) in enumerate(self._reservations):
             if size == body_bytes:
--- a/sedgering/mesh/_sender.py
+++ b/sedgering/mesh/_sender.py
@@ -5,10 +5,10 @@
 import functools
 
 from sedgering.mesh import _hop
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
 from sedgering.mesh import _peers
 from sedgering.mesh import _progress
-from sedgering.mesh import _room
 from sedgering.mesh import _target_side
 from sedgering import transport
 
@@ -126,7 +126,9 @@
     ) -> bool:
         """Whether the call takes more than one exchange, or is local."""
         is_own = peer.row.host == self.identity.host
-        return is_own or _room.needs_room(peer.row, len(call.request.body))
+        return is_own or _link_reservations.needs_reservation(
+            peer.row, len(call.request.body)
+        )
 
     def _begin_at(
         self,
@@ -255,7 +257,7 @@
         progress.note(_Stage.ROOM, now_s())
         is_sent = False
         try:
-            answer = await self._ask_for_room(peer, connection, call)
+            answer = await self._request_reservation(peer, connection, call)
             if answer is None:
                 is_sent = True
                 progress.note(_Stage.ANSWER, now_s())
@@ -266,7 +268,7 @@
         self._take_report(peer, call, answer)
         return answer
 
-    async def _ask_for_room(
+    async def _request_reservation(
         self,
         peer: _peers.Peer,
         connection: transport.ClientConnection,
@@ -274,10 +276,11 @@
     ) -> _messages.CallAnswer | None:
         """Ask whether a large body may be sent; None when it may."""
         body_bytes = len(call.request.body)
-        if not _room.needs_room(peer.row, body_bytes):
+        if not _link_reservations.needs_reservation(peer.row, body_bytes):
             return None
         response = await connection.exchange(
-            _room.encode_room_request(body_bytes), _accept_any
+            _link_reservations.encode_reservation_request(body_bytes),
+            _accept_any,
         )
         answer = _hop.decode_answer(response)
         return None if answer.reason is _Reason.NONE else answer
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_side.py
@@ -6,15 +6,15 @@
 
 from sedgering import balance
 from sedgering import base
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _crash_records
 from sedgering.mesh import _crash_watch
 from sedgering.mesh import _crashes
 from sedgering.mesh import _gate
 from sedgering.mesh import _gate_log
 from sedgering.mesh import _link
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _messages
-from sedgering.mesh import _room
 from sedgering.mesh import _settings
 from sedgering.mesh import _target
 from sedgering.mesh import _trials
@@ -52,9 +52,9 @@
         Admission control for the target.
     link : LinkMeter
         Measures the utilization of the link of this host.
-    room : LinkRoom
+    link_reservations : LinkReservations
         Reservations for large request bodies to this host.
-    answer_room : AnswerRoom
+    answer_admission : AnswerAdmission
         Admission control for large answers from this host.
     """
 
@@ -66,8 +66,8 @@
         target: _target.LocalTarget,
         gate: _gate.Gate,
         link: _link.LinkMeter,
-        room: _room.LinkRoom,
-        answer_room: _answer_room.AnswerRoom,
+        link_reservations: _link_reservations.LinkReservations,
+        answer_admission: _answer_admission.AnswerAdmission,
     ):
         self.names = names
         self.target = target
@@ -81,8 +81,8 @@
         )
         self.gate_log = _gate_log.GateLog()
         self.link = link
-        self.room = room
-        self.answer_room = answer_room
+        self.link_reservations = link_reservations
+        self.answer_admission = answer_admission
         self.speed = balance.OwnSpeed(gate.now_s)
         self.is_leaving = False
         #: The member row of this host, once it is known.
@@ -213,9 +213,9 @@
         """Make the load report that is sent to peers with an answer."""
         report = self.gate.make_report(route)
         report.link_percent = max(
-            self.link.find_percent(), self.room.used_percent
+            self.link.find_percent(), self.link_reservations.used_percent
         )
-        report.answer_wait_ms = int(self.answer_room.wait_ms)
+        report.answer_wait_ms = int(self.answer_admission.wait_ms)
         if self.speed.is_known:
             self._report_speed(report, route)
         return report
@@ -235,9 +235,11 @@
         if load is not None:
             self.speed.note_load(load)
 
-    def answer_room_request(self, body_bytes: int) -> _messages.CallAnswer:
+    def answer_reservation_request(
+        self, body_bytes: int
+    ) -> _messages.CallAnswer:
         """Answer whether a large body may be sent to this host."""
-        if self.room.reserve(body_bytes):
+        if self.link_reservations.reserve(body_bytes):
             return _messages.CallAnswer(
                 _messages.CallOutcome.NOT_RUN,
                 load=self.make_report(_messages.NO_ROUTE),
@@ -288,22 +290,22 @@
         self, call: _messages.TargetCall
     ) -> _messages.CallAnswer:
         """Run a call of a peer, whose answer uses the link of this host."""
-        room = self.answer_room
+        admission = self.answer_admission
         work_ms = self.gate.work.find_mean_ms(call.route)
         goal_s = self.gate.now_s() + call.goal_ms / 1000
-        if not room.can_send_in_time(call.route, work_ms, goal_s):
+        if not admission.can_send_in_time(call.route, work_ms, goal_s):
             self.gate_log.count_refused(call.route)
             return self._refuse(
-                call, _messages.RefusalReason.LINK_FULL, int(room.wait_ms)
+                call, _messages.RefusalReason.LINK_FULL, int(admission.wait_ms)
             )
-        reserved_bytes = room.reserve(call.route)
+        reserved_bytes = admission.reserve(call.route)
         size_bytes = None
         try:
             answer = await self.run(call)
             if answer.response is not None:
                 size_bytes = len(answer.response.body)
         finally:
-            room.release(call.route, reserved_bytes, size_bytes)
+            admission.release(call.route, reserved_bytes, size_bytes)
         return answer
 
     async def run(self, call: _messages.TargetCall) -> _messages.CallAnswer:
--- a/sedgering/model/_hosts.py
+++ b/sedgering/model/_hosts.py
@@ -7,14 +7,14 @@
 
 from sedgering import base
 from sedgering import mesh
-from sedgering.mesh import _answer_room
+from sedgering.mesh import _answer_admission
 from sedgering.mesh import _config
 from sedgering.mesh import _decisions
 from sedgering.mesh import _exchange
 from sedgering.mesh import _gate
 from sedgering.mesh import _link
+from sedgering.mesh import _link_reservations
 from sedgering.mesh import _peers
-from sedgering.mesh import _room
 from sedgering.mesh import _sender
 from sedgering.mesh import _state
 from sedgering.mesh import _target_side
@@ -47,7 +47,9 @@
 class ModelSide(_target_side.TargetSide):
     """Runs calls at a model target in place of a socket."""
 
-    def __init__(self, mesh_settings, link, room, gate, target, work_book):
+    def __init__(
+        self, mesh_settings, link, link_reservations, gate, target, work_book
+    ):
         addresses = mesh.Addresses(
             ADDRESS, PORT, PORT, PORT, PORT, ADDRESS, PORT
         )
@@ -58,8 +60,8 @@
             mesh.LocalTarget(),
             gate,
             link,
-            room,
-            _answer_room.AnswerRoom(None, gate.now_s),
+            link_reservations,
+            _answer_admission.AnswerAdmission(None, gate.now_s),
         )
         self.model_target: _targets.ModelTarget = target
         self.work_book: WorkBook = work_book
@@ -176,7 +178,7 @@
         self.side = ModelSide(
             mesh_settings,
             _link.LinkMeter(0, now_s),
-            _room.LinkRoom(0, now_s),
+            _link_reservations.LinkReservations(0, now_s),
             _gate.Gate(mesh_settings, now_s),
             target,
             work_book,
