--- a/features/steps/access_daemon_steps.py
+++ b/features/steps/access_daemon_steps.py
@@ -516,7 +516,10 @@
         *(_explain.explain_host(records, 'hall-1')),
         *(str(answer) for answer in keyed.answers),
         *(host.daemon.render_metrics().decode() for host in hosts),
-        *(repr(host.daemon.state.side.watch.records) for host in hosts),
+        *(
+            repr(host.daemon.state.target_client.watch.records)
+            for host in hosts
+        ),
         *(repr(host.daemon.state.config.snapshot.bundle) for host in hosts),
         *(repr(host.daemon.source.versions.newest) for host in hosts),
         *(repr(host.daemon.state.fleet.members) for host in hosts),
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -234,7 +234,7 @@
         testing.make_document(1, [download, {'service': 'ledger'}])
     )
     context.fleet.wait_ready()
-    gate = context.second.daemon.state.side.gate
+    gate = context.second.daemon.state.target_client.gate
     gate.open(50)
 
 
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -425,7 +425,7 @@
         budget = mesh.RetryWindow(0.1, 1, 10)
         host = _hosts.ModelHost(row, target, settings, budget, {}, 1)
         host.report()
-        host.side.speed = context.speed.speed
+        host.target_client.speed = context.speed.speed
         call = mesh.TargetCall(
             transport.Request('GET', '/', []),
             'id',
@@ -441,7 +441,7 @@
             1,
             may_wait,
         )
-        return host.side.refuse_if_busy(call)
+        return host.target_client.refuse_if_busy(call)
 
     return model.run_virtual(ask())
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -264,8 +264,8 @@
 def step_replaced(context):
     """Queue calls that name the old target, and replace it meanwhile."""
     mesh = context.mesh
-    side = mesh.second.daemon.state.side
-    gate = side.gate
+    target_client = mesh.second.daemon.state.target_client
+    gate = target_client.gate
     slots = gate.limit
 
     async def run():
@@ -296,7 +296,7 @@
 def step_new_open(context):
     mesh = context.mesh
     mesh.fleet.report(mesh.second)
-    target = mesh.second.daemon.state.side.target
+    target = mesh.second.daemon.state.target_client.target
     assert target.is_open, target.report
     assert target.target == 'i-new', target.report
 
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -298,7 +298,9 @@
     step_stand_still(context)
     mesh = context.mesh
     del mesh.second.daemon.inbound.begin
-    mesh.second.daemon.state.side.run = lambda _call: asyncio.sleep(3600)
+    mesh.second.daemon.state.target_client.run = lambda _call: asyncio.sleep(
+        3600
+    )
 
 
 @given('the second host is the only one that does not refuse')
@@ -307,12 +309,12 @@
     mesh = context.mesh
     mesh.third = mesh.fleet.add_host('hall-3')
     mesh.fleet.wait_ready()
-    side = mesh.third.daemon.state.side
+    target_client = mesh.third.daemon.state.target_client
 
     async def refuse(call):
-        return side._refuse(call, _messages.RefusalReason.SHED, 100)
+        return target_client._refuse(call, _messages.RefusalReason.SHED, 100)
 
-    side.run = refuse
+    target_client.run = refuse
     # Makes the second host the first choice.
     peers = mesh.first.daemon.state.peers
     row = mesh.first.daemon.state.fleet.members['hall-3']
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -80,7 +80,7 @@
     def fill(self, hosts) -> None:
         """Reserve the whole capacity of the links of hosts."""
         for host in hosts:
-            reservations = host.daemon.state.side.link_reservations
+            reservations = host.daemon.state.target_client.link_reservations
             self.fleet.run(_reserve_all(reservations))
 
     def upload(self, number: int, size: int):
--- a/features/steps/search_steps.py
+++ b/features/steps/search_steps.py
@@ -159,7 +159,7 @@
     context.fleet.wait_ready()
     context.free = others[-1]
     for host in others[:full]:
-        gate = host.daemon.state.side.gate
+        gate = host.daemon.state.target_client.gate
         gate.running = gate.limit
 
 
--- a/features/steps/sight_steps.py
+++ b/features/steps/sight_steps.py
@@ -184,7 +184,9 @@
     async def narrow():
         loop = asyncio.get_running_loop()
         pacer = transport.LinkPacer(rate * 1000, loop)
-        daemon.inbound.pacer = daemon.state.side.answer_admission.pacer = pacer
+        daemon.inbound.pacer = (
+            daemon.state.target_client.answer_admission.pacer
+        ) = pacer
 
     mesh.fleet.run(narrow())
 
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -138,12 +138,14 @@
         await self.start_daemon()
         self.report(1)
         await asyncio.sleep(SETTLE_S)
-        assert self.daemon.state.side.gate.is_open
+        assert self.daemon.state.target_client.gate.is_open
         self.carrier.lose()
         leaving = asyncio.create_task(self.daemon.leave(GRACE_MS))
         await asyncio.sleep(LEAVING_S / 2)
         if says_goodbye:
-            self.daemon.take_leave(self.daemon.state.side.target.lifetime)
+            self.daemon.take_leave(
+                self.daemon.state.target_client.target.lifetime
+            )
         await asyncio.sleep(LEAVING_S / 2)
         await self.daemon.close()
         await leaving
@@ -158,7 +160,7 @@
 
     async def was_open(self) -> bool:
         """Say whether the gate opens until the next report would come."""
-        gate = self.daemon.state.side.gate
+        gate = self.daemon.state.target_client.gate
         end_s = asyncio.get_running_loop().time() + REPORT_S
         while asyncio.get_running_loop().time() < end_s:
             if gate.is_open:
@@ -175,7 +177,7 @@
     await store.leave(True)
     await store.start_again(offset_s)
     was_open = await store.was_open()
-    row = store.daemon.state.side.row
+    row = store.daemon.state.target_client.row
     await store.daemon.close()
     return was_open, row
 
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -381,7 +381,7 @@
 
 @given('its daemon has learned that its work takes {work_ms:d} ms')
 def step_learned_work(context, work_ms):
-    gate = context.mesh.first.daemon.state.side.gate
+    gate = context.mesh.first.daemon.state.target_client.gate
     for _ in range(20):
         gate.work.note(ROUTE, work_ms)
 
@@ -391,22 +391,22 @@
     subject = context.mesh
 
     async def discard():
-        side = subject.first.daemon.state.side
-        side.target.discard()
-        side.refresh_gate()
+        target_client = subject.first.daemon.state.target_client
+        target_client.target.discard()
+        target_client.refresh_gate()
 
     subject.fleet.run(discard())
 
 
 @then('its daemon does not know how long its work takes')
 def step_work_unknown(context):
-    gate = context.mesh.first.daemon.state.side.gate
+    gate = context.mesh.first.daemon.state.target_client.gate
     assert gate.work.find_told_ms(ROUTE) == 0, gate.work.find_told_ms(ROUTE)
 
 
 @then('no place of the target is taken')
 def step_no_place(context):
-    gate = context.mesh.first.daemon.state.side.gate
+    gate = context.mesh.first.daemon.state.target_client.gate
     context.mesh.fleet.wait_for(lambda: not gate.running)
 
 
@@ -422,7 +422,7 @@
 def step_none_suspected(context):
     for host in context.mesh.fleet.hosts.values():
         assert not len(host.daemon.state.crashes)
-        assert not host.daemon.state.side.watch.records
+        assert not host.daemon.state.target_client.watch.records
 
 
 @given('two hosts with targets, and the store unavailable')
@@ -440,7 +440,7 @@
     second = context.hosts[1]
     second.books.is_leaving = True
     context.fleet.deregister(second)
-    assert not second.daemon.state.side.gate.is_open
+    assert not second.daemon.state.target_client.gate.is_open
     context.fleet.restart(second)
 
 
@@ -464,8 +464,8 @@
 
 @then('the gate before it opens')
 def step_gate_opens(context):
-    side = context.hosts[1].daemon.state.side
-    context.fleet.wait_for(lambda: side.gate.is_open)
+    target_client = context.hosts[1].daemon.state.target_client
+    context.fleet.wait_for(lambda: target_client.gate.is_open)
 
 
 @when('a late report of that target arrives')
@@ -475,10 +475,10 @@
 
 @then('the gate before it stays closed')
 def step_gate_closed(context):
-    side = context.hosts[1].daemon.state.side
+    target_client = context.hosts[1].daemon.state.target_client
     end_s = time.monotonic() + AT_ONCE_S
     while time.monotonic() < end_s:
-        assert not side.gate.is_open, side.target.report
+        assert not target_client.gate.is_open, target_client.target.report
         time.sleep(0.01)
 
 
--- a/features/steps/writer_steps.py
+++ b/features/steps/writer_steps.py
@@ -299,16 +299,22 @@
 
 def check_refused(context, target) -> None:
     """Send all reports of the table; each must be refused."""
-    side = context.mesh.first.daemon.state.side
-    before = side.target.report, side.target.conflicting_report
+    target_client = context.mesh.first.daemon.state.target_client
+    before = (
+        target_client.target.report,
+        target_client.target.conflicting_report,
+    )
     for row in context.table:
         answer = send_report(context, target, row['report'])
         assert answer.status == 400, (row, answer)
         found = json.loads(answer.body)
         assert found['code'] == int(row['code']), (row, found)
         assert found['error']
-        now = side.target.report, side.target.conflicting_report
-        assert now == before and side.gate.is_open, (row, now)
+        now = (
+            target_client.target.report,
+            target_client.target.conflicting_report,
+        )
+        assert now == before and target_client.gate.is_open, (row, now)
 
 
 @then(
@@ -358,7 +364,7 @@
 
 @then('that report is taken')
 def step_taken(context):
-    target = context.mesh.first.daemon.state.side.target
+    target = context.mesh.first.daemon.state.target_client.target
     assert target.report.state is mesh.TargetState.DRAINING
 
 
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -90,7 +90,7 @@
 
     @property
     def _now_s(self) -> float:
-        return self.state.side.gate.now_s()
+        return self.state.target_client.gate.now_s()
 
     def record_attempt(self, host: base.HostId) -> None:
         """Record that an attempt goes to a host."""
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -34,7 +34,7 @@
 from sedgering.mesh import _source
 from sedgering.mesh import _state
 from sedgering.mesh import _target
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import ports
 from sedgering import transport
 
@@ -100,7 +100,7 @@
         self.pause = _pause.PauseWatch()
         self.outbound = _outbound.OutboundService(state, self.pause)
         self.inbound = _inbound.InboundService(
-            state.side,
+            state.target_client,
             source.note_newer,
             self.pause,
             _relay.RelayDesk(source),
@@ -109,10 +109,10 @@
         self.follower = _follow.RelayFollower(
             identity, state.fleet, state.peers, source
         )
-        self.inbound.pacer = state.side.answer_admission.pacer
-        state.side.link.watch(self.inbound, self.outbound)
+        self.inbound.pacer = state.target_client.answer_admission.pacer
+        state.target_client.link.watch(self.inbound, self.outbound)
         self.backlog = _backlog.AnswerBacklog(
-            self.inbound, state.side.answer_admission
+            self.inbound, state.target_client.answer_admission
         )
         self.leave_log = _shutdown_log.ShutdownLog(
             self.outbound, self.inbound, self.pause, state.decisions.counts
@@ -126,7 +126,7 @@
         #: `_needs_confirmation`.
         self._unconfirmed_report: _messages.TargetReport | None = None
         self.is_leaving = False
-        state.side.watch.on_crash = self._send_crash_notices
+        state.target_client.watch.on_crash = self._send_crash_notices
         state.find_currency = source.find_currency
         self._servers: list[asyncio.AbstractServer] = []
         self._tasks: list[asyncio.Task] = []
@@ -165,8 +165,8 @@
         self._tasks = [
             loop.create_task(self._find_target()),
             loop.create_task(
-                self.state.side.gate_log.run(
-                    self.state.side.gate, self.backlog
+                self.state.target_client.gate_log.run(
+                    self.state.target_client.gate, self.backlog
                 )
             ),
             loop.create_task(self.follower.run()),
@@ -183,12 +183,12 @@
         await asyncio.sleep(FIRST_REPORT_WAIT_S)
         while not self.is_ready:
             await asyncio.sleep(FIRST_REPORT_WAIT_S)
-        side = self.state.side
+        target_client = self.state.target_client
         path = self.state.config.health_paths.get(self.identity.target_set)
-        if side.target.report is not None or not path:
+        if target_client.target.report is not None or not path:
             return
         report = await self._probe_target(path)
-        if report is None or side.target.report is not None:
+        if report is None or target_client.target.report is not None:
             return
         if report.state is not _messages.TargetState.READY:
             LOG.info('target is not ready', extra={'target': report.target})
@@ -208,7 +208,7 @@
 
     async def _probe_target(self, path: str) -> _messages.TargetReport | None:
         return await _probe.probe_target(
-            self.state.side.pool,
+            self.state.target_client.pool,
             path,
             self.state.names,
             self.identity.target_set,
@@ -218,10 +218,12 @@
         """Check which of two lifetimes answers at the target address."""
         path = self.state.config.health_paths.get(self.identity.target_set)
         answer = await self._probe_target(path) if path else None
-        side = self.state.side
+        target_client = self.state.target_client
         current = answer.target if answer else None
-        if side.target.resolve_conflict(current, side.gate.now_s()):
-            side.handle_new_lifetime()
+        if target_client.target.resolve_conflict(
+            current, target_client.gate.now_s()
+        ):
+            target_client.handle_new_lifetime()
             self._publish_target()
 
     def _check_peers(self, now_s: float) -> None:
@@ -241,15 +243,15 @@
             names = frozenset(route.name for route in routes)
             self.state.callers.retain(names)
             self.state.peers.retain_routes(names)
-            self.state.side.gate.work.retain(names)
-            self.state.side.answer_admission.retain(names)
+            self.state.target_client.gate.work.retain(names)
+            self.state.target_client.answer_admission.retain(names)
             target_sets = frozenset(
                 item.name for item in config.bundle.target_sets
             )
             self.state.admission.retain(target_sets)
             self.state.centres.retain(target_sets)
             self.state.quotas.take_config(config.bundle.workspaces)
-            self.state.side.speed.retain(names)
+            self.state.target_client.speed.retain(names)
         self._note_ready()
 
     def _note_ready(self) -> None:
@@ -263,7 +265,7 @@
         """Replace the member table."""
         if not self.state.fleet.is_known and self.identity.host in members:
             own = members[self.identity.host]
-            self.state.side.watch.restore(own.crashes)
+            self.state.target_client.watch.restore(own.crashes)
         for row in members.values():
             if row.crashes:
                 self.state.crashes.add_row(row)
@@ -287,21 +289,21 @@
 
     def _update_permit(self) -> None:
         """Open or close the gate as rollouts permit the target version."""
-        side = self.state.side
-        report = side.target.report
+        target_client = self.state.target_client
+        report = target_client.target.report
         if report is None:
             return
         entry = self.source.rollouts.find_entry(report.target_set)
-        side.version_trial.follow(
+        target_client.version_trial.follow(
             entry.rollout if entry else None, report.version
         )
         may_run = self.state.fleet.may_run(report.target_set, report.version)
         if (
-            may_run is not side.is_permitted
-            or side.version_trial.has_just_changed()
+            may_run is not target_client.is_permitted
+            or target_client.version_trial.has_just_changed()
         ):
-            side.is_permitted = may_run
-            side.refresh_gate()
+            target_client.is_permitted = may_run
+            target_client.refresh_gate()
 
     def take_report(self, report: _messages.TargetReport) -> None:
         """Process a report of the local target.
@@ -315,11 +317,11 @@
         self.check_lifetime(report.lifetime)
         if self._needs_confirmation(report):
             return
-        now_s = self.state.side.gate.now_s()
-        target = self.state.side.target
+        now_s = self.state.target_client.gate.now_s()
+        target = self.state.target_client.target
         had_conflict = target.conflicting_report is not None
         is_changed = target.take_report(report, now_s)
-        self.state.side.handle_new_lifetime()
+        self.state.target_client.handle_new_lifetime()
         if is_changed:
             self._update_permit()
             self._publish_target()
@@ -343,7 +345,7 @@
         """
         is_first = report.sequence <= _target.FIRST_SEQUENCE
         is_ready = report.state is _messages.TargetState.READY
-        is_present = self.state.side.target.report is not None
+        is_present = self.state.target_client.target.report is not None
         if is_first or is_present or not is_ready:
             return False
         earlier, self._unconfirmed_report = self._unconfirmed_report, report
@@ -361,7 +363,7 @@
         ReportError
             When it has no start time although the target has reported one.
         """
-        current = self.state.side.target.lifetime
+        current = self.state.target_client.target.lifetime
         if (
             current is not None
             and lifetime.target == current.target
@@ -385,12 +387,12 @@
 
     def take_leave(self, lifetime: _messages.Lifetime) -> None:
         """Record that the local target has deregistered."""
-        if self.state.side.target.leave(lifetime):
+        if self.state.target_client.target.leave(lifetime):
             self._publish_target()
 
     def render_metrics(self) -> bytes:
         """Return counters and gauges in the metrics text format."""
-        gate = self.state.side.gate
+        gate = self.state.target_client.gate
         callers = self.outbound.find_load()
         return self.state.decisions.counts.render(
             {
@@ -437,19 +439,19 @@
 
     @property
     def _target_set(self) -> base.TargetSetName:
-        report = self.state.side.target.report
+        report = self.state.target_client.target.report
         return report.target_set if report else self.identity.target_set
 
     def _publish_target(self) -> None:
-        side = self.state.side
-        side.refresh_gate()
-        side.row = self._make_row()
-        if side.row is not None:
-            self.state.apply_reported_row(side.row)
-        self.source.publish(side.row)
+        target_client = self.state.target_client
+        target_client.refresh_gate()
+        target_client.row = self._make_row()
+        if target_client.row is not None:
+            self.state.apply_reported_row(target_client.row)
+        self.source.publish(target_client.row)
 
     def _make_row(self) -> _messages.MemberRow | None:
-        report = self.state.side.target.report
+        report = self.state.target_client.target.report
         if report is None or self.is_leaving:
             return None
         return _messages.MemberRow(
@@ -467,7 +469,7 @@
             cold_ms=report.cold_ms,
             link_mbps=round(self.identity.link_mbps),
             born_ms=report.born_ms,
-            crashes=self.state.side.watch.records,
+            crashes=self.state.target_client.watch.records,
             version=report.version,
         )
 
@@ -499,7 +501,7 @@
         await asyncio.sleep(serving_ms / 1000)
         # Peers that have not yet seen the removed row send calls until they
         # are refused. A call that is accepted now might be aborted at the end.
-        self.state.side.leave()
+        self.state.target_client.leave()
         self.state.serving.is_over = True
         for server in self._servers:
             server.close()
@@ -589,7 +591,7 @@
     pacer = transport.make_pacer(identity.link_mbps, loop)
     rng = random.Random()
     gate = _gate.Gate(mesh_settings, now_s)
-    side = _target_side.TargetSide(
+    target_client = _target_client.TargetClient(
         names,
         addresses,
         mesh_settings,
@@ -609,7 +611,7 @@
         _config.ConfigHolder(mesh),
         _fleet.FleetTable(),
         _peers.PeerTable(mesh_settings),
-        side,
+        target_client,
         budget,
         decisions,
         rng,
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -259,7 +259,7 @@
             self.route.name,
             stated_ms,
             started_s,
-            self.state.side.latest_deadline_s,
+            self.state.target_client.latest_deadline_s,
         )
         self.urgency = origin.urgency
         self.is_early_retry = origin.is_early_retry
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -17,7 +17,7 @@
 from sedgering.mesh import _quota_hop
 from sedgering.mesh import _quotas
 from sedgering.mesh import _relay
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import transport
 
 __all__ = ['InboundService']
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    side : TargetSide
+    target_client : TargetClient
         Runs calls at the local target.
     note_version : callable
         Called with the version by which each call was routed.
@@ -48,14 +48,14 @@
 
     def __init__(
         self,
-        side: _target_side.TargetSide,
+        target_client: _target_client.TargetClient,
         note_version: Callable[[base.Version], None],
         pause: _pause.PauseWatch,
         desk: _relay.RelayDesk,
         quotas: _quotas.WorkspaceQuotas,
     ):
         super().__init__()
-        self.side = side
+        self.target_client = target_client
         self.note_version = note_version
         self.pause = pause
         self.desk = desk
@@ -79,7 +79,7 @@
             return self._refuse_unreadable(error)
         if call.may_wait or self.pause.find_lag_s():
             return self._run(call)
-        answer = self.side.refuse_if_busy(call)
+        answer = self.target_client.refuse_if_busy(call)
         if answer is None:
             return self._run(call)
         self.note_version(call.version)
@@ -107,7 +107,7 @@
         body_bytes = _link_reservations.find_reservation_bytes(request)
         if body_bytes is not None:
             return _hop.encode_answer(
-                self.side.answer_reservation_request(body_bytes)
+                self.target_client.answer_reservation_request(body_bytes)
             )
         return self._refuse_unreadable(_hop.HopError('neither call nor poll'))
 
@@ -121,19 +121,19 @@
     async def _run(self, call: _messages.TargetCall) -> transport.Response:
         """Run a call and encode its result."""
         self.note_version(call.version)
-        self.side.link_reservations.release(len(call.request.body))
+        self.target_client.link_reservations.release(len(call.request.body))
         if self.pause.find_lag_s():
             lag_ms = int(1000 * await self.pause.settle())
             call.remaining_ms = max(0, call.remaining_ms - lag_ms)
             call.goal_ms = max(0, call.goal_ms - lag_ms)
         try:
             async with asyncio.timeout(call.remaining_ms / 1000):
-                answer = await self.side.run_for_peer(call)
+                answer = await self.target_client.run_for_peer(call)
         except TimeoutError:
             answer = _messages.CallAnswer(
                 _messages.CallOutcome.UNKNOWN,
                 reason=_messages.RefusalReason.DEADLINE,
-                load=self.side.make_report(call.route),
+                load=self.target_client.make_report(call.route),
             )
         return _hop.encode_answer(answer)
 
@@ -150,8 +150,8 @@
             )
             return transport.make_json_response(400, {'error': str(error)})
         return _evidence_hop.encode_evidence(
-            self.side.version_trial.find_evidence(
-                order_revision, self.side.gate
+            self.target_client.version_trial.find_evidence(
+                order_revision, self.target_client.gate
             )
         )
 
@@ -165,5 +165,5 @@
                 extra={'detail': str(error)},
             )
             return transport.make_json_response(400, {'error': str(error)})
-        self.side.crashes.add_record(record)
+        self.target_client.crashes.add_record(record)
         return transport.Response(200, [])
--- a/sedgering/mesh/_sender.py
+++ b/sedgering/mesh/_sender.py
@@ -9,7 +9,7 @@
 from sedgering.mesh import _messages
 from sedgering.mesh import _peers
 from sedgering.mesh import _progress
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import transport
 
 __all__ = ['CallSender', 'SentCall']
@@ -77,7 +77,7 @@
     ----------
     identity : MeshIdentity
         Identity of this daemon.
-    side : TargetSide
+    target_client : TargetClient
         The local target.
     peers : PeerTable
         Load and failures of the targets of other daemons.
@@ -86,11 +86,11 @@
     def __init__(
         self,
         identity: _messages.MeshIdentity,
-        side: _target_side.TargetSide,
+        target_client: _target_client.TargetClient,
         peers: _peers.PeerTable,
     ):
         self.identity = identity
-        self.side = side
+        self.target_client = target_client
         self.peers = peers
 
     def begin(
@@ -220,7 +220,7 @@
         try:
             if peer.row.host == self.identity.host:
                 progress.note(_Stage.OWN_TARGET, loop.time())
-                answer = await self.side.run(call)
+                answer = await self.target_client.run(call)
                 self._take_report(peer, call, answer)
                 return answer
             return await self._ask(peer, call, progress)
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -19,7 +19,7 @@
 from sedgering.mesh import _serving
 from sedgering.mesh import _settings
 from sedgering.mesh import _start
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering import overload
 from sedgering import rollout
 
@@ -43,7 +43,7 @@
         Hosts and targets.
     peers : PeerTable
         Load and failures of the targets.
-    side : TargetSide
+    target_client : TargetClient
         The local target.
     budget : RetryWindow
         Retry budget.
@@ -61,7 +61,7 @@
         config: _config.ConfigHolder,
         fleet: _fleet.FleetTable,
         peers: _peers.PeerTable,
-        side: _target_side.TargetSide,
+        target_client: _target_client.TargetClient,
         budget: _budget.RetryWindow,
         decisions: _decisions.DecisionLog,
         rng: random.Random,
@@ -72,12 +72,12 @@
         self.config = config
         self.fleet = fleet
         self.peers = peers
-        self.side = side
-        self.crashes = side.crashes
+        self.target_client = target_client
+        self.crashes = target_client.crashes
         self.budget = budget
         self.decisions = decisions
         self.rng = rng
-        self.sender = _sender.CallSender(identity, side, peers)
+        self.sender = _sender.CallSender(identity, target_client, peers)
         self.route_weights = _choice.WeightedRoundRobin()
         self.callers = _callers.CallerTable()
         self.search_stats = _search.SearchStats()
@@ -97,7 +97,7 @@
             peers,
             decisions.counts,
             rng,
-            side.gate.now_s,
+            target_client.gate.now_s,
         )
         self.exposure = rollout.ExposureQuota(
             mesh_settings.exposed_share_percent / 100
@@ -124,5 +124,5 @@
 
     def note_started(self, row: _messages.MemberRow) -> None:
         """Record that the target of a row has started."""
-        now_s = self.side.gate.now_s()
+        now_s = self.target_client.gate.now_s()
         self.peers.find(row).note_cold(now_s + row.cold_ms / 1000)
--- a/sedgering/mesh/_target_side.py
+++ b/sedgering/mesh/_target_client.py
@@ -21,7 +21,7 @@
 from sedgering.mesh import _version_trial
 from sedgering import transport
 
-__all__ = ['TargetSide']
+__all__ = ['TargetClient']
 
 LOG = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
 _REPLACED_FIELDS = ('deadline_ms', 'expected_target', 'origin', 'workspace')
 
 
-class TargetSide:
+class TargetClient:
     """Runs calls at the local target.
 
     Parameters
--- a/sedgering/model/_hosts.py
+++ b/sedgering/model/_hosts.py
@@ -17,13 +17,13 @@
 from sedgering.mesh import _peers
 from sedgering.mesh import _sender
 from sedgering.mesh import _state
-from sedgering.mesh import _target_side
+from sedgering.mesh import _target_client
 from sedgering.model import _loads
 from sedgering.model import _results
 from sedgering.model import _targets
 from sedgering import transport
 
-__all__ = ['NAMES', 'ModelHost', 'ModelSide', 'WorkBook']
+__all__ = ['ModelHost', 'ModelTargetClient', 'NAMES', 'WorkBook']
 
 ADDRESS = '10.0.0.1'
 #: Ports are never opened.
@@ -44,7 +44,7 @@
         """Do nothing: the target ends what is under way itself."""
 
 
-class ModelSide(_target_side.TargetSide):
+class ModelTargetClient(_target_client.TargetClient):
     """Runs calls at a model target in place of a socket."""
 
     def __init__(
@@ -112,9 +112,11 @@
 class _ModelSender(_sender.CallSender):
     """Sends calls to other hosts of the model after the time of the way."""
 
-    def __init__(self, identity, side, peers, sides, load):
-        super().__init__(identity, side, peers)
-        self.sides: dict[base.HostId, ModelSide] = sides
+    def __init__(self, identity, target_client, peers, target_clients, load):
+        super().__init__(identity, target_client, peers)
+        self.target_clients: dict[base.HostId, ModelTargetClient] = (
+            target_clients
+        )
         self.load: _loads.Load = load
         self.sent = _results.SentCalls()
 
@@ -137,7 +139,7 @@
             remaining_ms=max(0, call.remaining_ms - lag_ms),
             goal_ms=max(0, call.goal_ms - lag_ms),
         )
-        answer = await self.sides[peer.row.host].run(arrived)
+        answer = await self.target_clients[peer.row.host].run(arrived)
         await asyncio.sleep(hop_s)
         self._take_report(peer, call, answer)
         return answer
@@ -175,7 +177,7 @@
         self.row = row
         self.target = target
         identity = mesh.MeshIdentity(row.host, row.data_centre, row.target_set)
-        self.side = ModelSide(
+        self.target_client = ModelTargetClient(
             mesh_settings,
             _link.LinkMeter(0, now_s),
             _link_reservations.LinkReservations(0, now_s),
@@ -190,7 +192,7 @@
             _config.ConfigHolder(MESH_NAME),
             mesh.FleetTable(),
             _peers.PeerTable(mesh_settings),
-            self.side,
+            self.target_client,
             budget,
             _decisions.DecisionLog(10_000, 1, now_s),
             random.Random(seed),
@@ -202,9 +204,9 @@
         self.state.start.end()
         self.state.sender = _ModelSender(
             self.state.identity,
-            self.side,
+            self.target_client,
             self.state.peers,
-            {name: host.side for name, host in hosts.items()},
+            {name: host.target_client for name, host in hosts.items()},
             load,
         )
         self.report()
@@ -219,9 +221,11 @@
             0,
             1,
         )
-        self.side.target.take_report(report, self.side.gate.now_s())
-        self.side.handle_new_lifetime()
-        self.side.refresh_gate()
+        self.target_client.target.take_report(
+            report, self.target_client.gate.now_s()
+        )
+        self.target_client.handle_new_lifetime()
+        self.target_client.refresh_gate()
 
     def renew(self) -> None:
         """Start another lifetime of the target, and report it."""
@@ -231,7 +235,7 @@
             self.row,
             target=base.TargetName(name),
             state=mesh.TargetState.READY,
-            crashes=self.side.watch.records,
+            crashes=self.target_client.watch.records,
         )
         self.report()
 
@@ -240,7 +244,7 @@
         self.row = msgspec.structs.replace(
             self.row,
             state=mesh.TargetState.DOWN,
-            crashes=self.side.watch.records,
+            crashes=self.target_client.watch.records,
         )
 
     def take_rows(self, rows: dict[base.HostId, mesh.MemberRow]) -> None:
--- a/sedgering/model/_play.py
+++ b/sedgering/model/_play.py
@@ -142,7 +142,9 @@
 
         target.call = call
         target.on_end = lambda: self._plan_return(host)
-        host.side.watch.on_crash = lambda record: self._tell_end(host, record)
+        host.target_client.watch.on_crash = lambda record: self._tell_end(
+            host, record
+        )
 
     def _change_noise(self, host: _hosts.ModelHost) -> None:
         target = host.target
