--- a/features/gate.feature
+++ b/features/gate.feature
@@ -3,26 +3,26 @@
   an injected clock.
 
   Scenario: Calls take free slots at once, up to the limit
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     When 3 first calls arrive with a goal of 400 ms
     Then 2 calls run and 1 waits
 
   Scenario: A call that could not end within its goal is refused at once
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     And 2 calls run and 0 first calls wait
     When 6 calls of priority 0 arrive
     And a first call arrives with a goal of 400 ms
     Then it is refused as shed with a retry time
 
   Scenario: A call issued by a target waits until its deadline, ahead of others
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     And 2 calls run and 6 first calls wait
     When a target's call arrives with a goal of 100 ms
     And a slot becomes free
     Then the target's call runs
 
   Scenario: A call in time is served before a late one
-    Given a gate with 1 places where work takes 50 ms
+    Given a gate with 1 slots where work takes 50 ms
     And 1 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And a first call arrives with a goal of 400 ms
@@ -30,27 +30,27 @@
     Then the first call runs and the returning call waits
 
   Scenario: A late call is refused at once when calls in time need all slots
-    Given a gate with 1 places where work takes 100 ms
+    Given a gate with 1 slots where work takes 100 ms
     And 1 calls run and 5 first calls wait
     When a returning call arrives with a goal of 0 ms
     Then it is refused as shed with a retry time
 
   Scenario: A late call is served when slots are left over
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     And 2 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And a slot becomes free
     Then the late call runs
 
   Scenario: A late call leaves the reserved slots to calls in time
-    Given a gate with 10 places where work takes 10 ms
+    Given a gate with 10 slots where work takes 10 ms
     And 9 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And a first call arrives with a goal of 400 ms
     Then the first call runs and the returning call waits
 
   Scenario: A late call is refused once calls in time have overtaken it
-    Given a gate with 1 places where work takes 50 ms
+    Given a gate with 1 slots where work takes 50 ms
     And 1 calls run and 0 first calls wait
     When a returning call arrives with a goal of 0 ms
     And 12 calls of priority 0 arrive
@@ -58,7 +58,7 @@
     Then the returning call is refused as shed with a retry time
 
   Scenario: A first call is refused early once others have overtaken it
-    Given a gate with 1 places where work takes 100 ms
+    Given a gate with 1 slots where work takes 100 ms
     And 1 calls run and 0 first calls wait
     When a first call arrives with a goal of 400 ms
     And 6 calls of priority 0 arrive
@@ -66,7 +66,7 @@
     Then the first call is refused as shed with a retry time
 
   Scenario: An overtaken first call stays queued as late if it can be served
-    Given a gate with 1 places where work takes 100 ms
+    Given a gate with 1 slots where work takes 100 ms
     And 1 calls run and 0 first calls wait
     When a first call arrives with a goal of 300 ms
     And 1 calls of priority 0 arrive
@@ -74,35 +74,35 @@
     Then 1 calls run and 2 waits
 
   Scenario: A first call that will end in time stays queued
-    Given a gate with 1 places where work takes 10 ms
+    Given a gate with 1 slots where work takes 10 ms
     And 1 calls run and 0 first calls wait
     When a first call arrives with a goal of 400 ms
     And 120 ms pass
     Then 1 calls run and 1 waits
 
   Scenario: A lower priority number is served first
-    Given a gate with 1 places where work takes 50 ms
+    Given a gate with 1 slots where work takes 50 ms
     And 1 calls run and 2 first calls wait
     When a first call of priority 0 arrives with a goal of 400 ms
     And a slot becomes free
     Then the call of priority 0 runs
 
   Scenario: A cancelled call leaves the queue
-    Given a gate with 1 places where work takes 50 ms
+    Given a gate with 1 slots where work takes 50 ms
     And 1 calls run and 2 first calls wait
     When the first waiter is cancelled
     And a slot becomes free
     Then 1 calls run and 0 waits
 
   Scenario: Random refusals do not lower the limit of a target
-    Given a gate with 12 places where work takes 100 ms
+    Given a gate with 12 slots where work takes 100 ms
     When the target refuses 50 calls
     Then the limit is 12
     And a peer that receives its report expects more than 300 ms
     And a peer expects less than 130 ms again after 200 successful calls
 
   Scenario: A target that fails at once does not seem fast
-    Given a gate with 12 places where work takes 100 ms
+    Given a gate with 12 slots where work takes 100 ms
     When the target fails 50 calls after 1 ms each
     Then a peer that receives its report expects more than 300 ms
 
@@ -112,14 +112,14 @@
     their goal although slots were free: with the inflated work time no call
     seemed able to meet its goal, from its first attempt on, and new callers
     waited behind returning ones.
-    Given a gate with 12 places where work takes 100 ms
+    Given a gate with 12 slots where work takes 100 ms
     And 20 calls were done after 100 ms each
     When the target refuses 50 calls
     Then a peer that receives its report assumes work of 95 to 105 ms
     And a caller with a goal of 200 ms may still meet it
 
   Scenario: A closed gate refuses queued calls and lets running ones end
-    Given a gate with 1 places where work takes 50 ms
+    Given a gate with 1 slots where work takes 50 ms
     And 1 calls run and 2 first calls wait
     When the gate closes
     Then the waiting calls are refused as leaving
@@ -268,7 +268,7 @@
     Then any call and any answer is the same after encoding and decoding
 
   Scenario: The gate logs each second what it did with each route
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     When its log counts 2 admitted after 30 ms and 1 refused
     Then its line is "calendar: 2 admitted after 30 ms, 1 refused, work 100 ms"
     And its next line is empty
--- a/features/search.feature
+++ b/features/search.feature
@@ -2,7 +2,7 @@
   In a large fleet load reports are stale, so a call probes for a free slot.
 
   Scenario: A gate without a free slot reports the expected wait
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     And 2 calls run and 3 first calls wait
     When a call arrives that may only run in a free slot
     Then it is refused as busy, with a wait of 150 to 250 ms
@@ -10,7 +10,7 @@
     And find_busy_ms gives the same result
 
   Scenario: A gate with a free slot admits the call
-    Given a gate with 2 places where work takes 100 ms
+    Given a gate with 2 slots where work takes 100 ms
     And 1 calls run and 0 first calls wait
     When a call arrives that may only run in a free slot
     Then it runs at once
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -79,9 +79,9 @@
         self.loop.close()
 
 
-@given('a gate with {places:d} places where work takes {work_ms:d} ms')
-def step_gate(context, places, work_ms):
-    context.gate = GateSubject(places, work_ms)
+@given('a gate with {slots:d} slots where work takes {work_ms:d} ms')
+def step_gate(context, slots, work_ms):
+    context.gate = GateSubject(slots, work_ms)
     context.cleanups.append(context.gate.close)
 
 
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -274,7 +274,7 @@
 
 @when('its target starts again')
 def step_gate_renewed(context):
-    context.gate.renew()
+    context.gate.reset_statistics()
 
 
 @then('its work times and failures are those of a new target')
@@ -401,7 +401,9 @@
 @then('its daemon does not know how long its work takes')
 def step_work_unknown(context):
     gate = context.mesh.first.daemon.state.target_client.gate
-    assert gate.work.find_told_ms(ROUTE) == 0, gate.work.find_told_ms(ROUTE)
+    assert gate.work.find_reported_ms(ROUTE) == 0, gate.work.find_reported_ms(
+        ROUTE
+    )
 
 
 @then('no place of the target is taken')
--- a/sedgering/mesh/_gate.py
+++ b/sedgering/mesh/_gate.py
@@ -197,7 +197,7 @@
         self.is_open = True
         self._admit_waiting()
 
-    def renew(self) -> None:
+    def reset_statistics(self) -> None:
         """Reset the statistics when the target was replaced."""
         self.work = _work.WorkTimes(WORK_QUANTILE)
         self._failure_share = 0.0
@@ -222,7 +222,7 @@
             self.waiting,
             self.limit,
             int(self.work.mean_ms),
-            int(self.work.find_told_ms(route)),
+            int(self.work.find_reported_ms(route)),
             waiting_nested=self._waiting_nested,
             failed_percent=round(100 * self._failure_share),
             demand_percent=round(100 * self._demand.find_share(self.limit)),
--- a/sedgering/mesh/_target_client.py
+++ b/sedgering/mesh/_target_client.py
@@ -168,7 +168,7 @@
                 self._open_lifetime = None
                 self._report_crash(previous)
             LOG.info('target replaced', extra={'target': current.target})
-            self.gate.renew()
+            self.gate.reset_statistics()
             self.speed = balance.OwnSpeed(self.gate.now_s)
             self.pool.close()
         if is_restart:
--- a/sedgering/mesh/_work.py
+++ b/sedgering/mesh/_work.py
@@ -69,14 +69,14 @@
             route_work = self._routes[route] = _RouteWork(elapsed_ms)
         route_work.note(elapsed_ms, self.quantile)
 
-    def find_told_ms(self, route: base.RouteName) -> float:
+    def find_reported_ms(self, route: base.RouteName) -> float:
         """Return the moving average of a route; 0 if no call has ended."""
         route_work = self._routes.get(route)
         return route_work.mean_ms if route_work is not None else 0.0
 
     def find_mean_ms(self, route: base.RouteName) -> float:
         """Return the moving average of a route, or of all if it has none."""
-        return self.find_told_ms(route) or self.mean_ms
+        return self.find_reported_ms(route) or self.mean_ms
 
     def find_quantile_ms(self, route: base.RouteName) -> float:
         """Return the time within which the set share of calls ends."""
