--- a/features/steps/access_daemon_steps.py
+++ b/features/steps/access_daemon_steps.py
@@ -151,7 +151,7 @@
     keyed.fleet.wait_for(
         lambda: (
             not any(
-                host.daemon.source.find_currency().is_current
+                host.daemon.source.find_freshness().is_current
                 for host in keyed.fleet.hosts.values()
             )
         )
@@ -264,7 +264,7 @@
         lambda: (
             sum(
                 not host.daemon.source.is_watching
-                and host.daemon.source.find_currency().is_current
+                and host.daemon.source.find_freshness().is_current
                 for host in keyed.fleet.hosts.values()
             )
             >= 3
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -65,11 +65,11 @@
 }
 LATE_S = 6.0
 LIMIT_S = 5.0
-CURRENCIES = {
-    'current': access.Currency(),
-    'behind': access.Currency(False, LATE_S),
-    'strict': access.Currency(False, LIMIT_S),
-    'strict, late': access.Currency(False, LATE_S),
+FRESHNESS = {
+    'current': access.Freshness(),
+    'behind': access.Freshness(False, LATE_S),
+    'strict': access.Freshness(False, LIMIT_S),
+    'strict, late': access.Freshness(False, LATE_S),
 }
 
 
@@ -126,19 +126,19 @@
     def __init__(self, state):
         bundle = make_open_bundle(WORKSPACE_A, WORKSPACE_B, keyed=('keyed',))
         self.snapshot = bundles.make_snapshot(1, b'', bundle)
-        self.currency = CURRENCIES[state]
+        self.freshness = FRESHNESS[state]
         is_strict = state.startswith('strict')
-        self.revocation = access.Revocation(is_strict, LIMIT_S)
+        self.revocation = access.RevocationPolicy(is_strict, LIMIT_S)
         self.identity = None
 
-    def identify(self, route, values):
+    def authenticate(self, route, values):
         """Authenticate a request."""
-        self.identity = access.identify(
+        self.identity = access.authenticate(
             self.snapshot,
             route,
             values,
             SCHEME,
-            self.currency,
+            self.freshness,
             self.revocation,
         )
 
@@ -272,7 +272,7 @@
 
 @when('a request with {fields} takes the {route} route')
 def step_identify(context, fields, route):
-    context.access.identify(route, FIELDS[fields])
+    context.access.authenticate(route, FIELDS[fields])
 
 
 @then('it is of workspace {name}')
@@ -285,7 +285,7 @@
 
 @then('it is anonymous')
 def step_anonymous(context):
-    assert context.access.identity == access.NOBODY
+    assert context.access.identity == access.ANONYMOUS
 
 
 @then('it is refused {code:d}')
@@ -328,7 +328,7 @@
     @PROPERTY
     @hypothesis.given(fields)
     def check(headers):
-        values, kept = access.take_claims(headers, 'x-workspace')
+        values, kept = access.strip_identity_fields(headers, 'x-workspace')
         assert kept == [item for item in headers if item[0] == 'A']
         taken = [item for item in headers if item[0].lower()[:2] == 'au']
         assert values == [value for _name, value in taken]
@@ -386,13 +386,13 @@
     path.write_text(text)
     snapshot = bundles.make_snapshot(1, b'', bundles.load_bundle(path))
     values = [f'Token {KEY_A}']
-    identity = access.identify(
+    identity = access.authenticate(
         snapshot,
         'calendar',
         values,
         SCHEME,
-        access.Currency(),
-        access.Revocation(),
+        access.Freshness(),
+        access.RevocationPolicy(),
     )
     assert identity.workspace == 'blue', identity
 
--- a/sedgering/access/_identity.py
+++ b/sedgering/access/_identity.py
@@ -9,10 +9,16 @@
 from sedgering import bundle as bundles
 from sedgering import exceptions
 
-__all__ = ['Currency', 'Identity', 'NOBODY', 'Revocation', 'identify']
+__all__ = [
+    'ANONYMOUS',
+    'Freshness',
+    'Identity',
+    'RevocationPolicy',
+    'authenticate',
+]
 
 
-class Currency(msgspec.Struct, frozen=True):
+class Freshness(msgspec.Struct, frozen=True):
     """How current the version in force at a daemon is.
 
     Parameters
@@ -27,7 +33,7 @@
     staleness_s: float = 0.0
 
 
-class Revocation(msgspec.Struct, frozen=True):
+class RevocationPolicy(msgspec.Struct, frozen=True):
     """Policy of a daemon for keys that may have been revoked.
 
     Parameters
@@ -41,10 +47,10 @@
     is_strict: bool = False
     max_staleness_s: float = 0.0
 
-    def may_trust(self, currency: Currency) -> bool:
+    def may_trust(self, freshness: Freshness) -> bool:
         """Whether a known key may be taken as still valid."""
         return (
-            not self.is_strict or currency.staleness_s <= self.max_staleness_s
+            not self.is_strict or freshness.staleness_s <= self.max_staleness_s
         )
 
 
@@ -70,16 +76,16 @@
 
 
 #: Identity of an anonymous request on a route that needs no key.
-NOBODY = Identity()
+ANONYMOUS = Identity()
 
 
-def identify(
+def authenticate(
     snapshot: bundles.Snapshot,
     route: base.RouteName,
     values: Sequence[str],
     scheme: str,
-    currency: Currency,
-    revocation: Revocation,
+    freshness: Freshness,
+    revocation: RevocationPolicy,
 ) -> Identity:
     """Find the workspace of a request, and decide whether it is accepted.
 
@@ -93,9 +99,9 @@
         Values of its authorization fields.
     scheme : str
         Authentication scheme that precedes the key.
-    currency : Currency
+    freshness : Freshness
         How current the snapshot is.
-    revocation : Revocation
+    revocation : RevocationPolicy
         Policy for keys that may have been revoked.
 
     Returns
@@ -114,16 +120,16 @@
     key = _keys.find_key(values, scheme)
     if key is None:
         if not is_keyed:
-            return NOBODY
+            return ANONYMOUS
         # No newer version can accept a request without a valid key.
         return Identity(code=exceptions.Code.REQUEST_KEY_UNKNOWN)
     digest = _keys.compute_key_digest(key)
     workspace = snapshot.workspaces_by_key.get(digest)
-    if workspace is not None and revocation.may_trust(currency):
+    if workspace is not None and revocation.may_trust(freshness):
         return Identity(workspace.name, workspace.priority)
     if not is_keyed:
-        return NOBODY
-    is_certain = workspace is None and currency.is_current
+        return ANONYMOUS
+    is_certain = workspace is None and freshness.is_current
     return Identity(
         code=(
             exceptions.Code.REQUEST_KEY_UNKNOWN
--- a/sedgering/access/_keys.py
+++ b/sedgering/access/_keys.py
@@ -12,7 +12,7 @@
     'compute_key_digest',
     'find_key',
     'shorten_digest',
-    'take_claims',
+    'strip_identity_fields',
 ]
 
 #: Field that carries a key, in lower case (RFC 9110, section 11.6.2).
@@ -33,7 +33,7 @@
     return digest[:DIGEST_HEAD_LENGTH]
 
 
-def take_claims(
+def strip_identity_fields(
     headers: Sequence[tuple[str, str]], workspace_field: str
 ) -> tuple[list[str], list[tuple[str, str]]]:
     """Remove the fields by which callers identify themselves.
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -127,7 +127,7 @@
         self._unconfirmed_report: _messages.TargetReport | None = None
         self.is_leaving = False
         state.target_client.watch.on_crash = self._send_crash_notices
-        state.find_currency = source.find_currency
+        state.find_freshness = source.find_freshness
         self._servers: list[asyncio.AbstractServer] = []
         self._tasks: list[asyncio.Task] = []
 
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -101,8 +101,9 @@
         #: Done when any attempt has ended or is silent.
         self._update: asyncio.Future = self.loop.create_future()
         self.last: _messages.CallAnswer | None = None
-        #: Identity of the caller; `NOBODY` when the bundle requires no keys.
-        self.identity = access.NOBODY
+        #: Identity of the caller; `ANONYMOUS` when the bundle requires no
+        #: keys.
+        self.identity = access.ANONYMOUS
         #: Crash evidence against the request; set once the caller is known.
         self.request_status: _request_status.RequestStatus | None = None
         self.answered: _messages.CallAnswer | None = None
@@ -227,18 +228,18 @@
         request = self.request
         names = self.state.names
         workspace_field = names.workspace.lower()
-        values, request.headers = access.take_claims(
+        values, request.headers = access.strip_identity_fields(
             request.headers, workspace_field
         )
         if request.fields is not None:
             request.fields.pop(access.KEY_FIELD, None)
             request.fields.pop(workspace_field, None)
-        self.identity = access.identify(
+        self.identity = access.authenticate(
             snapshot,
             self.route.name,
             values,
             names.key_scheme,
-            self.state.find_currency(),
+            self.state.find_freshness(),
             self.state.revocation,
         )
         request.workspace = self.identity.workspace
--- a/sedgering/mesh/_source.py
+++ b/sedgering/mesh/_source.py
@@ -143,7 +143,7 @@
         """Whether this daemon is in contact with the store."""
         return self._config_watcher.is_fresh and self._member_watcher.is_fresh
 
-    def find_currency(self) -> access.Currency:
+    def find_freshness(self) -> access.Freshness:
         """Return how up to date the version of this daemon is."""
         now_s = self.loop.time()
         is_relay_current = (
@@ -153,7 +153,7 @@
         heard_s = max(
             self._config_watcher.heard_s, self._relay_contact_s - RELAY_DELAY_S
         )
-        return access.Currency(
+        return access.Freshness(
             (self._config_watcher.is_fresh or is_relay_current)
             and not is_behind,
             now_s - heard_s,
--- a/sedgering/mesh/_state.py
+++ b/sedgering/mesh/_state.py
@@ -86,9 +86,9 @@
         self.start = _start.StartupWait()
         self.serving = _serving.ServingDeadline()
         #: Returns how current the version in force is.
-        self.find_currency: Callable[[], access.Currency] = access.Currency
+        self.find_freshness: Callable[[], access.Freshness] = access.Freshness
         self.workspace_counts = access.WorkspaceCounts()
-        self.revocation = access.Revocation()
+        self.revocation = access.RevocationPolicy()
         self.follow_revocation(mesh_settings)
         self.quotas = _quotas.make_workspace_quotas(
             identity,
@@ -105,7 +105,7 @@
 
     def follow_revocation(self, mesh_settings: _settings.MeshSettings) -> None:
         """Apply the settings for keys that may have been revoked."""
-        self.revocation = access.Revocation(
+        self.revocation = access.RevocationPolicy(
             mesh_settings.revoke_strict, mesh_settings.revoke_ms / 1000
         )
 
--- a/sedgering/proxy/_exchange.py
+++ b/sedgering/proxy/_exchange.py
@@ -106,13 +106,13 @@
         headers = self.request.headers
         value = headers.pop(access.KEY_FIELD, None)
         headers.pop(_headers.WORKSPACE_HEADER, None)
-        identity = access.identify(
+        identity = access.authenticate(
             snapshot,
             route.name,
             () if value is None else (value,),
             _headers.KEY_SCHEME,
-            access.Currency(),
-            access.Revocation(),
+            access.Freshness(),
+            access.RevocationPolicy(),
         )
         if identity.code is not None:
             raise exceptions.RequestError(
