--- a/features/steps/quota_simulation.py
+++ b/features/steps/quota_simulation.py
@@ -99,8 +99,8 @@
         )
         quotas.simulation = self
         self.daemons[name].quotas = quotas
-        quotas.take_members(dict(self.rows))
-        quotas.take_config(self.workspaces)
+        quotas.set_members(dict(self.rows))
+        quotas.set_workspaces(self.workspaces)
 
     def kill(self, name: str) -> None:
         """Crash a daemon: it sends no message."""
@@ -129,7 +129,7 @@
         ]
         for daemon in self.daemons.values():
             if daemon.quotas is not None:
-                daemon.quotas.take_config(self.workspaces)
+                daemon.quotas.set_workspaces(self.workspaces)
 
     def leave(self, name: str) -> None:
         """Remove the row of a host, and stop the host some time later."""
@@ -151,7 +151,7 @@
     def _distribute_rows(self) -> None:
         for daemon in self.daemons.values():
             if daemon.quotas is not None and not daemon.network_part:
-                daemon.quotas.take_members(dict(self.rows))
+                daemon.quotas.set_members(dict(self.rows))
 
     async def deliver(self, sender, host, token_request):
         """Deliver a request and its answer, as links and hosts allow."""
@@ -229,7 +229,7 @@
         quotas = daemon.quotas
         if quotas is None:
             return
-        if not quotas.is_counted(workspace):
+        if not quotas.has_quota(workspace):
             return
         permit = quotas.take(workspace)
         if permit is None:
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -426,14 +426,14 @@
         random.Random(1),
         lambda: 1.0,
     )
-    quotas.take_members({'h0': testing.make_member_row('h0')})
-    quotas.take_config([bundles.Workspace('crew', rate_per_s=1)])
+    quotas.set_members({'h0': testing.make_member_row('h0')})
+    quotas.set_workspaces([bundles.Workspace('crew', rate_per_s=1)])
     context.quotas = quotas
 
 
 @then('requests of a workspace need no token')
 def step_no_token(context):
-    assert not context.quotas.is_counted('crew')
+    assert not context.quotas.has_quota('crew')
     assert context.quotas.find_gauges() == {}
 
 
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -250,7 +250,7 @@
             )
             self.state.admission.retain(target_sets)
             self.state.centres.retain(target_sets)
-            self.state.quotas.take_config(config.bundle.workspaces)
+            self.state.quotas.set_workspaces(config.bundle.workspaces)
             self.state.target_client.speed.retain(names)
         self._note_ready()
 
@@ -274,7 +274,7 @@
         for row in new:
             self.state.note_started(row)
         self.state.budget.daemons = max(1, len(members))
-        self.state.quotas.take_members(self.state.fleet.members)
+        self.state.quotas.set_members(self.state.fleet.members)
         self._update_permit()
         self.follower.note_members_known()
         self._note_ready()
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -271,7 +271,7 @@
         """Take a quota token of the workspace; return whether one was free."""
         quotas = self.state.quotas
         workspace = self.identity.workspace
-        if not quotas.is_counted(workspace):
+        if not quotas.has_quota(workspace):
             return True
         self.token = quotas.take(workspace)
         if self.token is None:
@@ -618,7 +618,9 @@
         if code is exceptions.Code.REQUEST_KEY_UNSURE:
             return self.state.rng.uniform(*KEY_RETRY_AFTER_S)
         if code is exceptions.Code.REQUEST_QUOTA:
-            return self.state.quotas.find_pause_s(self.identity.workspace)
+            return self.state.quotas.find_retry_after_s(
+                self.identity.workspace
+            )
         limits = self.state.mesh_settings
         left_ms = self.stated_timeout_ms - self._elapsed_ms()
         share = self.state.rng.uniform(*self.retry_after_shares)
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -96,7 +96,7 @@
         self, request: transport.Request
     ) -> transport.Response:
         """Answer requests other than calls and polls."""
-        if _quota_hop.is_ask(request):
+        if _quota_hop.is_quota_request(request):
             return self.quotas.answer(request)
         if _hop.is_ping(request):
             return transport.Response(200, [])
--- a/sedgering/mesh/_quota_client.py
+++ b/sedgering/mesh/_quota_client.py
@@ -266,7 +266,7 @@
             needs, grant.granted, grant.waits_ms, strict=False
         ):
             name = need.workspace
-            if not self.quotas.is_counted(name):
+            if not self.quotas.has_quota(name):
                 continue
             permit_cache.put(name, count, sent_s + quota.TOKEN_LIFETIME_S)
             self._serve(name, now_s)
--- a/sedgering/mesh/_quota_hop.py
+++ b/sedgering/mesh/_quota_hop.py
@@ -11,7 +11,7 @@
     'decode_request',
     'encode_grant',
     'encode_request',
-    'is_ask',
+    'is_quota_request',
 ]
 
 PATH = '/quota'
@@ -33,7 +33,7 @@
     )
 
 
-def is_ask(request: transport.Request) -> bool:
+def is_quota_request(request: transport.Request) -> bool:
     """Whether an HTTP request is a token request of another daemon."""
     return request.find(MARK_HEADER) is not None
 
--- a/sedgering/mesh/_quotas.py
+++ b/sedgering/mesh/_quotas.py
@@ -110,7 +110,7 @@
         self.lowered_at_s = -math.inf
         self._labelled: frozenset[base.WorkspaceName] = frozenset()
 
-    def is_counted(self, workspace: base.WorkspaceName) -> bool:
+    def has_quota(self, workspace: base.WorkspaceName) -> bool:
         """Whether requests of a workspace need tokens."""
         return workspace in self.plans
 
@@ -160,7 +160,7 @@
         self.permit_cache.put_back(token, self.now_s())
         self._count('quota_returned', token.workspace)
 
-    def find_pause_s(self, workspace: base.WorkspaceName) -> float:
+    def find_retry_after_s(self, workspace: base.WorkspaceName) -> float:
         """Return the time after which a refused caller may find a token."""
         now_s = self.now_s()
         waits_s = [
@@ -226,7 +226,7 @@
             )
             return None
 
-    def take_config(self, workspaces: Iterable[bundles.Workspace]) -> None:
+    def set_workspaces(self, workspaces: Iterable[bundles.Workspace]) -> None:
         """Apply the quotas of a bundle version.
 
         Parameters
@@ -257,7 +257,7 @@
         self._labelled = frozenset(largest[:LABELLED_LIMIT])
         self._update_clients()
 
-    def take_members(
+    def set_members(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> None:
         """Set the members of the fleet, which share the rates.
