--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -410,7 +410,7 @@
         now_s,
     )
     peer = mesh.choose_member(
-        context.fleet.by_set[SET], tried, costs, random.Random(seed)
+        context.fleet.ready_by_set[SET], tried, costs, random.Random(seed)
     )
     return peer and peer.row.host
 
@@ -547,7 +547,7 @@
 
 @then('only the later host is open')
 def step_only_later(context):
-    assert [row.host for row in context.fleet.by_set[SET]] == ['new']
+    assert [row.host for row in context.fleet.ready_by_set[SET]] == ['new']
 
 
 @then('nothing is chosen at {now_s:g} s when "far" was already tried')
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -134,8 +134,8 @@
     for first_asked in range(len(configs)):
         log = _versions.VersionLog()
         for number, config in enumerate(configs):
-            assert log.take(config, keeps_step=number > first_asked)
-            assert not log.take(config, keeps_step=True)
+            assert log.add(config, keeps_delta=number > first_asked)
+            assert not log.add(config, keeps_delta=True)
         assert log.find_news(base.Version(12)) is None
         for held in [None, *configs[:-1]]:
             version = held.version if held else base.NO_VERSION
@@ -149,7 +149,7 @@
 def step_news(context):
     log = _versions.VersionLog()
     for version in (1, 2, 3):
-        log.take(make_config(version), True)
+        log.add(make_config(version), True)
     context.held = make_config(1)
     context.news = log.find_news(context.held.version)
     context.whole = log.find_news(base.NO_VERSION)
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -231,7 +231,7 @@
 
 @then('the first host knows the new target')
 def step_knows(context):
-    rows = context.first.daemon.state.fleet.by_set['calendar']
+    rows = context.first.daemon.state.fleet.ready_by_set['calendar']
     assert [row.target for row in rows] == ['i-next'], rows
 
 
@@ -250,7 +250,7 @@
     other = testing.make_member_row('h1')
     context.member_table.replace({'h0': context.stored, 'h1': other})
     assert context.member_table.members == {'h0': context.told, 'h1': other}
-    rows = context.member_table.by_set['calendar']
+    rows = context.member_table.ready_by_set['calendar']
     assert context.told in rows or other in rows
 
 
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -234,7 +234,7 @@
 def step_table_has(context, born):
     row = context.fleet.members['near']
     assert row.born_ms == born, row
-    assert context.fleet.by_set[SET] == (row,)
+    assert context.fleet.ready_by_set[SET] == (row,)
 
 
 @then('a member row without the start of its target is decoded')
@@ -521,7 +521,7 @@
             table.replace(members)
             fresh = _make_rollout_table()
             fresh.replace(members)
-            assert table.by_set == fresh.by_set, steps
+            assert table.ready_by_set == fresh.ready_by_set, steps
             assert table.trials == fresh.trials, steps
 
     check()
--- a/sedgering/mesh/_chooser.py
+++ b/sedgering/mesh/_chooser.py
@@ -146,7 +146,7 @@
         targets crashes one after the other, never several at once.
         """
         peer = _choice.choose_suspect_target(
-            self.state.fleet.by_set.get(self.call.target_set, ()),
+            self.state.fleet.ready_by_set.get(self.call.target_set, ()),
             self.state.peers,
             self.request_status.fingerprint,
             self._now_s,
@@ -182,7 +182,7 @@
 
     def _choose_untried(self) -> _peers.Peer | None:
         """Choose among the hosts that have not been tried."""
-        members = self.state.fleet.by_set.get(self.call.target_set, ())
+        members = self.state.fleet.ready_by_set.get(self.call.target_set, ())
         near, far = _choice.split_candidates(
             members, self.state.identity.data_centre, self.state.rng
         )
@@ -212,7 +212,7 @@
             near, far, self.tried, self.make_costs(), self.state.rng, busy
         )
         if peer is None and busy is None:
-            members = self.state.fleet.by_set[self.call.target_set]
+            members = self.state.fleet.ready_by_set[self.call.target_set]
             return self._choose_among(members)
         return peer
 
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -282,7 +282,7 @@
     def take_rollouts(self) -> None:
         """Apply changed orders and rollouts."""
         rollouts = self.source.rollouts
-        self.state.fleet.note_rollouts()
+        self.state.fleet.reindex()
         self.state.exposure.retain(rollouts.list_trials())
         self._update_permit()
         self._note_ready()
@@ -427,7 +427,7 @@
             return
         rows = [
             row
-            for row in self.state.fleet.by_set.get(self._target_set, ())
+            for row in self.state.fleet.ready_by_set.get(self._target_set, ())
             if row.host != self.identity.host
         ]
         if len(rows) > CRASH_NOTICES_LIMIT:
--- a/sedgering/mesh/_evidence_hop.py
+++ b/sedgering/mesh/_evidence_hop.py
@@ -8,10 +8,10 @@
 
 __all__ = [
     'decode_evidence',
-    'decode_question',
+    'decode_evidence_request',
     'encode_evidence',
-    'encode_question',
-    'is_question',
+    'encode_evidence_request',
+    'is_evidence_request',
 ]
 
 PATH = '/evidence'
@@ -22,18 +22,18 @@
 _DECODER = msgspec.msgpack.Decoder(rollout.Evidence)
 
 
-def encode_question(order_revision: int) -> bytes:
+def encode_evidence_request(order_revision: int) -> bytes:
     """Encode an evidence request to another daemon."""
     headers = [('Host', 'peer'), (ORDER_REVISION_FIELD, str(order_revision))]
     return transport.encode_request(transport.Request('GET', PATH, headers))
 
 
-def is_question(request: transport.Request) -> bool:
+def is_evidence_request(request: transport.Request) -> bool:
     """Whether a request is an evidence request of another daemon."""
     return request.find(ORDER_REVISION_FIELD) is not None
 
 
-def decode_question(request: transport.Request) -> int:
+def decode_evidence_request(request: transport.Request) -> int:
     """Return the order revision of an evidence request.
 
     Raises
--- a/sedgering/mesh/_fleet.py
+++ b/sedgering/mesh/_fleet.py
@@ -27,7 +27,7 @@
         #: Newer rows reported by daemons, which override the stored rows.
         self._reported: dict[base.HostId, _messages.MemberRow] = {}
         self.members: dict[base.HostId, _messages.MemberRow] = {}
-        self.by_set: dict[
+        self.ready_by_set: dict[
             base.TargetSetName, tuple[_messages.MemberRow, ...]
         ] = {}
         self.is_known = False
@@ -40,7 +40,7 @@
         #: Orders and rollouts; None if rollouts are not in use.
         self.rollouts: _rollout_log.RolloutLog | None = None
 
-    def note_rollouts(self) -> None:
+    def reindex(self) -> None:
         """Recompute which targets may get calls."""
         self._index(None)
 
@@ -137,14 +137,14 @@
                 changed is None or row.target_set in changed
             ):
                 by_set.setdefault(row.target_set, []).append(row)
-        kept = set() if changed is None else self.by_set.keys() - changed
+        kept = set() if changed is None else self.ready_by_set.keys() - changed
         self.trials = {
             name: rows for name, rows in self.trials.items() if name in kept
         }
-        self.by_set = {name: self.by_set[name] for name in kept}
+        self.ready_by_set = {name: self.ready_by_set[name] for name in kept}
         for name, rows in by_set.items():
             rows.sort(key=_get_host)
-            self.by_set[name] = tuple(self._choose_permitted(name, rows))
+            self.ready_by_set[name] = tuple(self._choose_permitted(name, rows))
 
     def _choose_permitted(
         self,
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -102,7 +102,7 @@
             return transport.Response(200, [])
         if _crash_notice.is_notice(request):
             return self._take_notice(request)
-        if _evidence_hop.is_question(request):
+        if _evidence_hop.is_evidence_request(request):
             return self._answer_evidence_query(request)
         body_bytes = _link_reservations.find_reservation_bytes(request)
         if body_bytes is not None:
@@ -142,7 +142,7 @@
     ) -> transport.Response:
         """Return the trial evidence on the version of the local target."""
         try:
-            order_revision = _evidence_hop.decode_question(request)
+            order_revision = _evidence_hop.decode_evidence_request(request)
         except ValueError as error:
             LOG.warning(
                 'unreadable evidence query from a peer',
--- a/sedgering/mesh/_rollout_driver.py
+++ b/sedgering/mesh/_rollout_driver.py
@@ -206,7 +206,7 @@
         self, rows: list[_messages.MemberRow], order_revision: int
     ) -> list[rollout.Evidence]:
         """Query the evidence of targets; skip those that do not answer."""
-        data = _evidence_hop.encode_question(order_revision)
+        data = _evidence_hop.encode_evidence_request(order_revision)
         answers = await asyncio.gather(
             *(
                 self.peers.find(row).ask(
--- a/sedgering/mesh/_source.py
+++ b/sedgering/mesh/_source.py
@@ -262,7 +262,7 @@
         versions = self.versions
         versions.revision = max(versions.revision, revision)
         self._config_watcher.skip_to(revision)
-        if config is not None and versions.take(config, self.is_polled):
+        if config is not None and versions.add(config, self.is_polled):
             self._on_config(config)
             self.note_change()
 
--- a/sedgering/mesh/_version_trial.py
+++ b/sedgering/mesh/_version_trial.py
@@ -62,7 +62,7 @@
     ) -> None:
         """Record one call, and stop the target if it plainly fails."""
         self._evidence.note(route, is_failure, elapsed_ms)
-        if self._is_new and rollout.is_plainly_bad(self._evidence):
+        if self._is_new and rollout.is_clearly_failing(self._evidence):
             self.is_stopped = True
 
     def has_just_changed(self) -> bool:
--- a/sedgering/mesh/_versions.py
+++ b/sedgering/mesh/_versions.py
@@ -71,14 +71,14 @@
         """Newest known version."""
         return self.newest.version if self.newest else base.NO_VERSION
 
-    def take(self, config: _config.AcceptedConfig, keeps_step: bool) -> bool:
+    def add(self, config: _config.AcceptedConfig, keeps_delta: bool) -> bool:
         """Add a version, unless it is outdated.
 
         Parameters
         ----------
         config : AcceptedConfig
             Version as the operator wrote it.
-        keeps_step : bool
+        keeps_delta : bool
             Whether to keep the delta for other daemons; most daemons are
             never asked for one and keep none.
 
@@ -93,7 +93,7 @@
         self.newest = config
         self._digest = base.Digest(b'')
         self._full_bundle = b''
-        if old is None or not keeps_step:
+        if old is None or not keeps_delta:
             self._deltas.clear()
             return True
         delta = bundles.make_delta(
--- a/sedgering/rollout/__init__.py
+++ b/sedgering/rollout/__init__.py
@@ -24,7 +24,7 @@
 from sedgering.rollout._plan import Observation
 from sedgering.rollout._plan import plan_next
 from sedgering.rollout._verdict import choose_verdict
-from sedgering.rollout._verdict import is_plainly_bad
+from sedgering.rollout._verdict import is_clearly_failing
 from sedgering.rollout._verdict import Verdict
 
 __all__ = [
@@ -42,7 +42,7 @@
     'choose_verdict',
     'compute_latency_bucket',
     'find_majority',
-    'is_plainly_bad',
+    'is_clearly_failing',
     'make_permits',
     'make_rollout',
     'plan_next',
--- a/sedgering/rollout/_verdict.py
+++ b/sedgering/rollout/_verdict.py
@@ -17,7 +17,7 @@
 __all__ = [
     'Verdict',
     'choose_verdict',
-    'is_plainly_bad',
+    'is_clearly_failing',
 ]
 
 #: A call is slow if it takes more than four times (8 buckets) the median of
@@ -87,7 +87,7 @@
     return Verdict.OPEN
 
 
-def is_plainly_bad(evidence: _evidence.Evidence) -> bool:
+def is_clearly_failing(evidence: _evidence.Evidence) -> bool:
     """Whether the calls to one target suffice to stop the trial there."""
     failures = evidence.failures
     is_many = failures >= LOCAL_STOP_FAILURES
