--- a/benchmarks/bench_members.py
+++ b/benchmarks/bench_members.py
@@ -39,12 +39,12 @@
         self.peers = mesh.PeerTable(mesh.MeshSettings())
         self.size = size
         entries = tuple(self._make_entry(number, 1) for number in range(size))
-        self._take(_members.MemberNews(entries, 1, True))
+        self._take(_members.MemberUpdate(entries, 1, True))
 
     def change(self, revision: int) -> None:
         """Take in one row whose target has started anew."""
         entry = self._make_entry(revision % self.size, revision)
-        self._take(_members.MemberNews((entry,), revision, False))
+        self._take(_members.MemberUpdate((entry,), revision, False))
 
     def _make_entry(self, number: int, revision: int) -> _members.MemberEntry:
         row = testing.make_member_row(
@@ -56,8 +56,8 @@
         )
         return _members.MemberEntry(base.HostId(row.host), revision, row)
 
-    def _take(self, news: _members.MemberNews) -> None:
-        self.log.merge(news)
+    def _take(self, update: _members.MemberUpdate) -> None:
+        self.log.merge(update)
         members = self.log.list_members()
         self.fleet.replace(members)
         self.peers.retain(frozenset(members))
--- a/benchmarks/bench_relays.py
+++ b/benchmarks/bench_relays.py
@@ -26,19 +26,19 @@
     def __init__(self):
         self.bytes = 0
         self.polls = 0
-        self._answer = _relay.RelayDesk.answer
+        self._answer = _relay.PollHandler.answer
 
     def install(self) -> None:
         """Count from now on."""
         count = self
 
-        async def answer(desk, request):
-            response = await count._answer(desk, request)
+        async def answer(handler, request):
+            response = await count._answer(handler, request)
             count.bytes += len(response.body)
             count.polls += 1
             return response
 
-        _relay.RelayDesk.answer = answer
+        _relay.PollHandler.answer = answer
 
 
 def make_version(version: int) -> bytes:
--- a/features/steps/access_daemon_steps.py
+++ b/features/steps/access_daemon_steps.py
@@ -318,7 +318,7 @@
     source = context.keyed.first.daemon.source
 
     async def note():
-        source.note_newer(base.Version(source.versions.version + 1))
+        source.note_peer_version(base.Version(source.versions.version + 1))
 
     context.keyed.fleet.run(note())
 
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -255,14 +255,14 @@
 @then('a request read now counts as {pause_s:g} s old for a moment')
 def step_counts_old(context, pause_s):
     async def check():
-        watch = mesh.PauseWatch()
+        detector = mesh.PauseDetector()
         now_s = asyncio.get_running_loop().time()
-        watch.note_tick(now_s - pause_s - _pause.TICK_S)
+        detector.note_tick(now_s - pause_s - _pause.TICK_S)
         # Not yet beaten again, then just beaten again.
-        assert abs(watch.find_lag_s() - pause_s) < 0.1
-        watch.note_tick(now_s)
-        assert abs(await watch.settle() - pause_s) < 0.1
-        assert watch.find_lag_s() == 0
+        assert abs(detector.find_lag_s() - pause_s) < 0.1
+        detector.note_tick(now_s)
+        assert abs(await detector.settle() - pause_s) < 0.1
+        assert detector.find_lag_s() == 0
 
     asyncio.run(check())
 
@@ -270,10 +270,10 @@
 @then('a beat that is {late_s:g} s late counts as nothing')
 def step_beat_late(context, late_s):
     async def check():
-        watch = mesh.PauseWatch()
+        detector = mesh.PauseDetector()
         now_s = asyncio.get_running_loop().time()
-        watch.note_tick(now_s + _pause.TICK_S + late_s)
-        assert watch.find_lag_s() == 0
+        detector.note_tick(now_s + _pause.TICK_S + late_s)
+        assert detector.find_lag_s() == 0
 
     asyncio.run(check())
 
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -762,13 +762,13 @@
 
 
 async def _start_pauses(context):
-    store_return = _watch.StoreReturn()
-    context.pauses = [_watch.Pauses(store_return) for _ in range(4)]
-    for pauses in context.pauses:
-        pauses._pause_s = 3600.0
+    store_recovery = _watch.StoreRecovery()
+    context.backoffs = [_watch.RetryBackoff(store_recovery) for _ in range(4)]
+    for backoff in context.backoffs:
+        backoff._pause_s = 3600.0
     loop = asyncio.get_running_loop()
     context.waiting = [
-        loop.create_task(pauses.wait()) for pauses in context.pauses[:3]
+        loop.create_task(backoff.wait()) for backoff in context.backoffs[:3]
     ]
     # Let each task begin to wait.
     await asyncio.sleep(0)
@@ -776,7 +776,7 @@
 
 @when('one of them is answered')
 def step_answered(context):
-    context.pauses[3].reset()
+    context.backoffs[3].reset()
 
 
 @then('all three continue at once')
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -58,7 +58,7 @@
                 rows[entry.host] = entry.row
         return {host: row for host, row in rows.items() if row is not None}
 
-    def read(self, lag: int) -> _members.MemberNews:
+    def read(self, lag: int) -> _members.MemberUpdate:
         """Read all rows, as of some changes ago."""
         revision = max(1, self.revision - lag)
         entries = tuple(
@@ -68,9 +68,9 @@
             and self.rows_at(revision).get(entry.host) == entry.row
             and entry.row is not None
         )
-        return _members.MemberNews(entries, revision, True)
+        return _members.MemberUpdate(entries, revision, True)
 
-    def watch(self, after: int, lag: int) -> _members.MemberNews:
+    def watch(self, after: int, lag: int) -> _members.MemberUpdate:
         """Tell the changes since a revision, up to some changes ago."""
         revision = max(after, self.revision - lag)
         last = {
@@ -78,7 +78,7 @@
             for entry in self.entries
             if after < entry.revision <= revision
         }
-        return _members.MemberNews(tuple(last.values()), revision, False)
+        return _members.MemberUpdate(tuple(last.values()), revision, False)
 
 
 @then('logs that learn from the store and each other in any order are right')
@@ -106,11 +106,11 @@
             elif kind == 'read':
                 logs[first].merge(store.read(second))
             elif kind == 'watch' and logs[first].revision:
-                news = store.watch(logs[first].revision, second)
-                logs[first].merge(news)
+                update = store.watch(logs[first].revision, second)
+                logs[first].merge(update)
             elif kind == 'learn':
                 known = logs[first].revision
-                logs[first].merge(logs[second].find_news(known))
+                logs[first].merge(logs[second].make_update(known))
             elif kind == 'restart':
                 logs[first] = _members.MemberLog()
             for item in logs:
@@ -136,37 +136,37 @@
         for number, config in enumerate(configs):
             assert log.add(config, keeps_delta=number > first_asked)
             assert not log.add(config, keeps_delta=True)
-        assert log.find_news(base.Version(12)) is None
+        assert log.make_update(base.Version(12)) is None
         for held in [None, *configs[:-1]]:
             version = held.version if held else base.NO_VERSION
-            news = log.find_news(version)
-            assert _versions.decode_news(news, held) == configs[-1]
-        is_whole = log.find_news(base.Version(8)).base_version == 0
+            update = log.make_update(version)
+            assert _versions.decode_update(update, held) == configs[-1]
+        is_whole = log.make_update(base.Version(8)).base_version == 0
         assert is_whole is (first_asked == len(configs) - 1)
 
 
 @given('news of a version by differences')
-def step_news(context):
+def step_update(context):
     log = _versions.VersionLog()
     for version in (1, 2, 3):
         log.add(make_config(version), True)
     context.held = make_config(1)
-    context.news = log.find_news(context.held.version)
-    context.whole = log.find_news(base.NO_VERSION)
+    context.update = log.make_update(context.held.version)
+    context.whole = log.make_update(base.NO_VERSION)
 
 
 @when('a difference is cut short')
 def step_cut(context):
-    first, second = context.news.steps
-    context.news = msgspec.structs.replace(
-        context.news, steps=(first[:-4], second)
+    first, second = context.update.steps
+    context.update = msgspec.structs.replace(
+        context.update, steps=(first[:-4], second)
     )
 
 
 @when('the last difference is left out')
 def step_left_out(context):
-    context.news = msgspec.structs.replace(
-        context.news, steps=context.news.steps[:-1]
+    context.update = msgspec.structs.replace(
+        context.update, steps=context.update.steps[:-1]
     )
 
 
@@ -177,13 +177,13 @@
 
 @when('the whole bundle has another digest')
 def step_other_digest(context):
-    context.news = msgspec.structs.replace(context.whole, digest=b'x' * 32)
+    context.update = msgspec.structs.replace(context.whole, digest=b'x' * 32)
 
 
 @then('they are refused with code {code:d}')
 def step_refused(context, code):
     try:
-        _versions.decode_news(context.news, context.held)
+        _versions.decode_update(context.update, context.held)
     except exceptions.BundleError as error:
         assert int(error.code) == code, error
         return
@@ -311,10 +311,10 @@
         _members.MemberEntry(f'h{number}', number + 1, make_row(f'h{number}'))
         for number in range(count)
     ]
-    news = _members.MemberNews(tuple(context.entries), count, True)
+    update = _members.MemberUpdate(tuple(context.entries), count, True)
     context.logs = [_members.MemberLog() for _ in range(2)]
     for log in context.logs:
-        log.merge(news)
+        log.merge(update)
 
 
 @when('it reads the whole list again, with a member more and one less')
@@ -322,7 +322,7 @@
     revision = len(context.entries) + 5
     more = _members.MemberEntry('new', revision - 1, make_row('new'))
     entries = (*context.entries[1:], more)
-    context.logs[0].merge(_members.MemberNews(entries, revision, True))
+    context.logs[0].merge(_members.MemberUpdate(entries, revision, True))
 
 
 @then(
@@ -331,10 +331,10 @@
 )
 def step_told(context, count):
     relay, follower = context.logs
-    news = relay.find_news(follower.revision)
-    assert not news.is_complete
-    assert len(news.entries) == count, news.entries
-    follower.merge(news)
+    update = relay.make_update(follower.revision)
+    assert not update.is_complete
+    assert len(update.entries) == count, update.entries
+    follower.merge(update)
     assert follower.list_members() == relay.list_members()
     assert 'h0' not in follower.list_members()
 
@@ -389,8 +389,8 @@
 def step_freeze(context):
     subject = context.relays
     for host in subject.wait_relays(2):
-        desk = host.daemon.inbound.desk
-        desk.answer = _stand_still
+        poll_handler = host.daemon.inbound.poll_handler
+        poll_handler.answer = _stand_still
         host.daemon.follower.source.set_watching(False)
         subject.living.remove(host)
 
@@ -425,15 +425,15 @@
     subject = context.relays
     for host in subject.wait_relays(2):
         log = host.daemon.source.versions
-        find_news = log.find_news
+        make_update = log.make_update
 
-        def find_damaged(version, find_news=find_news):
-            news = find_news(version)
-            if news is None or not news.base_version:
-                return news
-            return msgspec.structs.replace(news, steps=(b'damaged',))
+        def find_damaged(version, make_update=make_update):
+            update = make_update(version)
+            if update is None or not update.base_version:
+                return update
+            return msgspec.structs.replace(update, steps=(b'damaged',))
 
-        log.find_news = find_damaged
+        log.make_update = find_damaged
 
 
 @when('a daemon has refused a difference, and got its version elsewhere')
@@ -447,11 +447,11 @@
     for host in relays:
         log = host.daemon.source.versions
 
-        def find_news(version, find=log.find_news):
+        def make_update(version, find=log.make_update):
             context.asked.append(version)
             return find(version)
 
-        log.find_news = find_news
+        log.make_update = make_update
     # The version that was asked for whole is held already.
     context.follower.daemon.follower._needs_whole = True
 
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -276,18 +276,18 @@
         newest: dict[tuple, int] = {}
         for item in items:
             if isinstance(item, rollout.Order):
-                log.merge(_rollout_log.RolloutNews((item,)))
+                log.merge(_rollout_log.RolloutUpdate((item,)))
                 key = ('order/', item.target_set)
             else:
-                log.merge(_rollout_log.RolloutNews((), (item,)))
+                log.merge(_rollout_log.RolloutUpdate((), (item,)))
                 key = ('rollout/', item.rollout.target_set)
             newest[key] = max(newest.get(key, 0), item.revision)
         log.is_known = True
         known = {kind + name: at for (kind, name), at in newest.items()}
         assert log.list_known() == known
-        assert log.find_news(known) is None
+        assert log.make_update(known) is None
         other = _rollout_log.RolloutLog()
-        other.merge(log.find_news(None))
+        other.merge(log.make_update(None))
         other.is_known = True
         assert other.list_known() == known
 
@@ -299,7 +299,7 @@
     context.log = _rollout_log.RolloutLog()
     context.log.is_known = True
     entry = _rollout_log.RolloutEntry(8, make_row('trial'))
-    context.log.merge(_rollout_log.RolloutNews((), (entry,)))
+    context.log.merge(_rollout_log.RolloutUpdate((), (entry,)))
 
 
 @when('it receives {order}')
@@ -313,7 +313,7 @@
             rollout.Order(SET, base.SoftwareVersion(''), 0, 9),
         ),
     }
-    context.log.merge(_rollout_log.RolloutNews(orders[order]))
+    context.log.merge(_rollout_log.RolloutUpdate(orders[order]))
 
 
 @then('it {verb} what to do with the rollout, of which the order {stands}')
@@ -552,7 +552,7 @@
     host = next(iter(fleet.hosts.values()))
     driver = host.daemon.rollouts
     driver.source = _ClocklessSource(host.daemon.source)
-    entry = _rollout_log.RolloutNews((make_order(),))
+    entry = _rollout_log.RolloutUpdate((make_order(),))
     driver.source.rollouts.merge(entry)
     fleet.run(driver._advance(SET))
     assert not driver.source.rollout_store.written
--- a/features/steps/sight_steps.py
+++ b/features/steps/sight_steps.py
@@ -230,7 +230,7 @@
     async def run():
         asking = _start_call(context, path, name)
         await asyncio.sleep(SENT_S)
-        daemon.leave_log.note_end()
+        daemon.shutdown_log.note_end()
         await _drop(asking)
 
     context.mesh.fleet.run(run())
@@ -268,7 +268,7 @@
         while not mesh.list_runs():
             await asyncio.sleep(METRICS_INTERVAL_S)
         await asyncio.sleep(SENT_S)
-        mesh.first.daemon.leave_log.note_end()
+        mesh.first.daemon.shutdown_log.note_end()
         reader.socket.close()
 
     mesh.fleet.run(run())
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -180,9 +180,9 @@
     context.second = context.fleet.add_host('h1')
     context.fleet.configure(testing.make_document(1, [{}]))
     context.fleet.wait_ready()
-    context.first.daemon.source.take_members = lambda _news: None
+    context.first.daemon.source.merge_members = lambda _update: None
     watcher = context.first.daemon.source._member_watcher
-    watcher.post = lambda _news: None
+    watcher.post = lambda _update: None
 
 
 @when('the target of the second host is replaced by another lifetime')
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -107,7 +107,7 @@
         watchers = (source._config_watcher, source._member_watcher)
         for number, watcher in enumerate(watchers):
             seed = 2 * self.seed + number
-            watcher.pauses._rng = random.Random(seed)
+            watcher.backoff._rng = random.Random(seed)
         self.daemon = mesh.make_mesh_daemon(
             mesh.MeshIdentity(HOST, base.DataCentre('hall'), TARGET_SET, 0),
             self.addresses,
--- a/features/steps/target_steps.py
+++ b/features/steps/target_steps.py
@@ -250,11 +250,11 @@
 def step_row_way(context, born):
     row = testing.make_member_row('near', born_ms=born)
     entry = _members.MemberEntry(row.host, 7, row)
-    news = _relay.RelayNews(
-        True, 7, None, _members.MemberNews((entry,), 7, True)
+    update = _relay.RelayUpdate(
+        True, 7, None, _members.MemberUpdate((entry,), 7, True)
     )
-    found = _relay.decode_relay_news(_relay.encode_news(news))
-    assert found == news
+    found = _relay.decode_relay_update(_relay.encode_relay_update(update))
+    assert found == update
 
 
 @given('a gate that has learned of a slow target that refuses calls')
@@ -534,5 +534,5 @@
     order = rollout.Order(SET, base.SoftwareVersion('v2'), 9000, 7)
     row = rollout.Rollout(SET, 'v1', 'v2', 7, rollout.Stage.TRIAL, 0, 0)
     entry = _rollout_log.RolloutEntry(8, row)
-    table.rollouts.merge(_rollout_log.RolloutNews((order,), (entry,)))
+    table.rollouts.merge(_rollout_log.RolloutUpdate((order,), (entry,)))
     return table
--- a/features/steps/writer_steps.py
+++ b/features/steps/writer_steps.py
@@ -260,7 +260,7 @@
 
 
 @then('news with a strange row have the other rows, and the version')
-def step_strange_news(context):
+def step_strange_update(context):
     rows = {
         host: msgspec.to_builtins(testing.make_member_row(host))
         for host in ('a', 'b', 'c')
@@ -272,14 +272,14 @@
     limits = msgspec.to_builtins(transport.CallerLimits())
     version[4] = limits
     body = msgspec.msgpack.encode([True, 8, version, [entries, 8, False]])
-    news = _relay.decode_relay_news(transport.Response(200, [], body))
-    found = {entry.host: entry.row for entry in news.members.entries}
+    update = _relay.decode_relay_update(transport.Response(200, [], body))
+    found = {entry.host: entry.row for entry in update.members.entries}
     assert found.pop('b') is None
     assert {host: row.host for host, row in found.items()} == {
         'a': 'a',
         'c': 'c',
     }
-    assert news.is_fresh and news.version.version == 9
+    assert update.is_fresh and update.version.version == 9
 
 
 # Reports.
--- a/sedgering/mesh/__init__.py
+++ b/sedgering/mesh/__init__.py
@@ -38,7 +38,7 @@
 from sedgering.mesh._messages import TargetReport
 from sedgering.mesh._messages import TargetState
 from sedgering.mesh._messages import UNKNOWN_BORN_MS
-from sedgering.mesh._pause import PauseWatch
+from sedgering.mesh._pause import PauseDetector
 from sedgering.mesh._peers import PeerTable
 from sedgering.mesh._rollout_store import RolloutStore
 from sedgering.mesh._settings import MeshSettings
@@ -73,7 +73,7 @@
     'MeshIdentity',
     'MeshSettings',
     'MeshSource',
-    'PauseWatch',
+    'PauseDetector',
     'PeerTable',
     'RefusalReason',
     'RetryWindow',
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -97,13 +97,13 @@
         self.addresses = addresses
         self.state = state
         self.source = source
-        self.pause = _pause.PauseWatch()
+        self.pause = _pause.PauseDetector()
         self.outbound = _outbound.OutboundService(state, self.pause)
         self.inbound = _inbound.InboundService(
             state.target_client,
-            source.note_newer,
+            source.note_peer_version,
             self.pause,
-            _relay.RelayDesk(source),
+            _relay.PollHandler(source),
             state.quotas,
         )
         self.follower = _follow.RelayFollower(
@@ -114,7 +114,7 @@
         self.backlog = _backlog.AnswerBacklog(
             self.inbound, state.target_client.answer_admission
         )
-        self.leave_log = _shutdown_log.ShutdownLog(
+        self.shutdown_log = _shutdown_log.ShutdownLog(
             self.outbound, self.inbound, self.pause, state.decisions.counts
         )
         self.rollouts = _rollout_driver.RolloutDriver(
@@ -174,7 +174,7 @@
         if self.source.rollout_store is not None:
             self._tasks.append(loop.create_task(self.rollouts.run()))
         self.source.start(
-            self.take_config, self.take_members, self.take_rollouts
+            self.apply_config, self.merge_members, self.merge_rollouts
         )
         LOG.info('started', extra={'detail': f'{own.address}'})
 
@@ -235,7 +235,7 @@
             self._start_task(peer.ping())
         peers.mark_silent(now_s)
 
-    def take_config(self, config: _config.AcceptedConfig) -> None:
+    def apply_config(self, config: _config.AcceptedConfig) -> None:
         """Apply a configuration version unless it is outdated."""
         if self.state.config.apply(config):
             routes = config.bundle.routes
@@ -259,7 +259,7 @@
         if self.is_ready:
             self.state.start.end()
 
-    def take_members(
+    def merge_members(
         self, members: dict[base.HostId, _messages.MemberRow]
     ) -> None:
         """Replace the member table."""
@@ -279,7 +279,7 @@
         self.follower.note_members_known()
         self._note_ready()
 
-    def take_rollouts(self) -> None:
+    def merge_rollouts(self) -> None:
         """Apply changed orders and rollouts."""
         rollouts = self.source.rollouts
         self.state.fleet.reindex()
@@ -493,7 +493,7 @@
         self.source.publish(None)
         LOG.info('leaving')
         loop = asyncio.get_running_loop()
-        self._tasks.append(loop.create_task(self.leave_log.run()))
+        self._tasks.append(loop.create_task(self.shutdown_log.run()))
         serving_ms = min(
             self.state.mesh_settings.leave_serving_ms,
             grace_ms * LEAVE_SERVING_SHARE,
@@ -507,7 +507,7 @@
             server.close()
         await self._wait_until_idle(end_s)
         self._stop_tasks()
-        self.leave_log.note_end()
+        self.shutdown_log.note_end()
 
     def _plan_end(self, grace_s: float) -> float:
         """Limit all requests to the grace time; return when to end."""
--- a/sedgering/mesh/_evidence_hop.py
+++ b/sedgering/mesh/_evidence_hop.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from sedgering.mesh import _peer_answers
+from sedgering.mesh import _peer_responses
 from sedgering import rollout
 from sedgering import transport
 
@@ -47,7 +47,7 @@
 def encode_evidence(evidence: rollout.Evidence) -> transport.Response:
     """Encode the answer to an evidence request."""
     return transport.Response(
-        _peer_answers.STATUS_OK, [], _ENCODER.encode(evidence)
+        _peer_responses.STATUS_OK, [], _ENCODER.encode(evidence)
     )
 
 
@@ -59,4 +59,4 @@
     PeerError
         If the response is not a valid answer.
     """
-    return _peer_answers.decode_peer_answer(response, _DECODER.decode)
+    return _peer_responses.decode_peer_answer(response, _DECODER.decode)
--- a/sedgering/mesh/_follow.py
+++ b/sedgering/mesh/_follow.py
@@ -15,7 +15,7 @@
 from sedgering.mesh import _versions
 from sedgering import transport
 
-__all__ = ['RelayFollower', 'list_watching']
+__all__ = ['RelayFollower', 'list_store_watchers']
 
 LOG = logging.getLogger(__name__)
 
@@ -81,7 +81,7 @@
     relays: list[_messages.MemberRow]
 
 
-def list_watching(
+def list_store_watchers(
     members: dict[base.HostId, _messages.MemberRow], relay_from_hosts: int
 ) -> list[_messages.MemberRow]:
     """Return the hosts that watch the store while no relay has failed.
@@ -257,7 +257,7 @@
             )
             return
         try:
-            news = await self._poll(slot, row)
+            update = await self._poll(slot, row)
         except (
             exceptions.PeerError,
             transport.ConnectFailed,
@@ -266,11 +266,11 @@
         ) as error:
             self._back_off(slot, row, repr(error))
             return
-        await self._apply_news(slot, row, news)
+        await self._apply_update(slot, row, update)
 
     async def _poll(
         self, slot: _RelaySlot, row: _messages.MemberRow
-    ) -> _relay.RelayNews:
+    ) -> _relay.RelayUpdate:
         version = await self._choose_base_version(slot)
         poll = _relay.RelayPoll(
             self.identity.host,
@@ -285,7 +285,7 @@
                 _relay.encode_poll(poll), lambda _response: True
             )
         peer.pool.put(connection)
-        return _relay.decode_relay_news(response)
+        return _relay.decode_relay_update(response)
 
     async def _choose_base_version(self, slot: _RelaySlot) -> base.Version:
         """Return the version from which the relay may send differences.
@@ -306,49 +306,49 @@
         has_none = self.source.versions.version == base.NO_VERSION
         return self._needs_whole or has_none
 
-    async def _apply_news(
+    async def _apply_update(
         self,
         slot: _RelaySlot,
         row: _messages.MemberRow,
-        news: _relay.RelayNews,
+        update: _relay.RelayUpdate,
     ) -> None:
-        if news.members is not None:
-            self.source.take_members(news.members)
-        if news.rollouts is not None:
-            self.source.take_rollouts(news.rollouts)
-        if news.version is not None and not self._take_version(news):
+        if update.members is not None:
+            self.source.merge_members(update.members)
+        if update.rollouts is not None:
+            self.source.merge_rollouts(update.rollouts)
+        if update.version is not None and not self._take_version(update):
             await asyncio.sleep(REJECTED_DIFFERENCE_PAUSE_S)
             return
-        if not news.is_fresh:
+        if not update.is_fresh:
             self._back_off(slot, row, 'relay has lost the store')
             return
-        if news.version is None:
-            self.source.take_version(None, news.version_revision)
+        if update.version is None:
+            self.source.apply_version(None, update.version_revision)
         self.source.note_relay_contact()
         self._backoffs_s.pop(row.host, None)
         self._set_healthy(slot, True)
 
-    def _take_version(self, news: _relay.RelayNews) -> bool:
+    def _take_version(self, update: _relay.RelayUpdate) -> bool:
         held = self.source.versions.newest
-        if held is not None and held.version >= news.version.version:
+        if held is not None and held.version >= update.version.version:
             # The other relay or the store has provided it meanwhile.
             self._needs_whole = False
             return True
         try:
-            config = _versions.decode_news(news.version, held)
+            config = _versions.decode_update(update.version, held)
         except exceptions.BundleError as error:
             self._needs_whole = True
             LOG.info(
                 'difference rejected',
                 extra={
-                    'version': news.version.version,
+                    'version': update.version.version,
                     'code': int(error.code),
                     'detail': error.detail,
                 },
             )
             return False
         self._needs_whole = False
-        self.source.take_version(config, news.version_revision)
+        self.source.apply_version(config, update.version_revision)
         return True
 
     def _choose_relay(self, slot: _RelaySlot) -> _messages.MemberRow | None:
--- a/sedgering/mesh/_inbound.py
+++ b/sedgering/mesh/_inbound.py
@@ -38,9 +38,9 @@
         Runs calls at the local target.
     note_version : callable
         Called with the version by which each call was routed.
-    pause : PauseWatch
+    pause : PauseDetector
         Measures how late a call is read after a pause of the process.
-    desk : RelayDesk
+    poll_handler : PollHandler
         Answers relay polls.
     quotas : WorkspaceQuotas
         Answers daemons that request quota tokens.
@@ -50,15 +50,15 @@
         self,
         target_client: _target_client.TargetClient,
         note_version: Callable[[base.Version], None],
-        pause: _pause.PauseWatch,
-        desk: _relay.RelayDesk,
+        pause: _pause.PauseDetector,
+        poll_handler: _relay.PollHandler,
         quotas: _quotas.WorkspaceQuotas,
     ):
         super().__init__()
         self.target_client = target_client
         self.note_version = note_version
         self.pause = pause
-        self.desk = desk
+        self.poll_handler = poll_handler
         self.quotas = quotas
 
     def find_limits(self) -> transport.CallerLimits:
@@ -70,7 +70,7 @@
     ) -> Coroutine | transport.Response:
         """Return an immediate response, or a coroutine that answers."""
         if _relay.is_poll(request):
-            return self.desk.answer(request)
+            return self.poll_handler.answer(request)
         if not _hop.is_call(request):
             return self._answer_directly(request)
         try:
--- a/sedgering/mesh/_members.py
+++ b/sedgering/mesh/_members.py
@@ -6,7 +6,7 @@
 from sedgering import exceptions
 from sedgering.mesh import _messages
 
-__all__ = ['MemberEntry', 'MemberLog', 'MemberNews', 'decode_row']
+__all__ = ['MemberEntry', 'MemberLog', 'MemberUpdate', 'decode_row']
 
 #: Number of removals that are kept. A daemon that lags behind by more of them
 #: gets all rows.
@@ -31,7 +31,7 @@
     row: _messages.MemberRow | None
 
 
-class MemberNews(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """An update of member rows, as of one revision of the store.
 
     Parameters
@@ -90,23 +90,23 @@
         #: Revision since which all removals are kept in the entries.
         self._removals_since = 0
 
-    def merge(self, news: MemberNews) -> bool:
+    def merge(self, update: MemberUpdate) -> bool:
         """Merge an update; return whether any row changed."""
-        if news.revision <= self.revision:
+        if update.revision <= self.revision:
             return False
         is_changed = False
-        for entry in news.entries:
+        for entry in update.entries:
             known = self._entries.get(entry.host)
             if entry.revision > (known.revision if known else self.revision):
                 self._entries[entry.host] = entry
                 is_changed = True
-        if news.is_complete:
-            is_changed |= self._remove_others(news)
+        if update.is_complete:
+            is_changed |= self._remove_others(update)
         self._forget_removals()
-        self.revision = news.revision
+        self.revision = update.revision
         return is_changed
 
-    def find_news(self, revision: int) -> MemberNews:
+    def make_update(self, revision: int) -> MemberUpdate:
         """Return the update for a daemon that knows all up to a revision."""
         is_complete = revision < self._removals_since
         entries = (
@@ -118,7 +118,7 @@
                 else entry.revision > revision
             )
         )
-        return MemberNews(tuple(entries), self.revision, is_complete)
+        return MemberUpdate(tuple(entries), self.revision, is_complete)
 
     def find_entry(self, host: base.HostId) -> MemberEntry:
         """Return the entry of a host; at revision 0 if it has no row."""
@@ -136,7 +136,7 @@
             entry.host: entry.row for entry in entries if entry.row is not None
         }
 
-    def _remove_others(self, news: MemberNews) -> bool:
+    def _remove_others(self, update: MemberUpdate) -> bool:
         """Remove the hosts that are missing from a complete list.
 
         They are recorded as removed since the previous list, so that daemons
@@ -144,16 +144,16 @@
         the store had dropped its history, each read of a relay sent all 88
         rows to all its followers.
         """
-        listed = {entry.host for entry in news.entries}
+        listed = {entry.host for entry in update.entries}
         missing = [
             host
             for host, entry in self._entries.items()
             if host not in listed and entry.row is not None
         ]
         for host in missing:
-            self._entries[host] = MemberEntry(host, news.revision, None)
+            self._entries[host] = MemberEntry(host, update.revision, None)
         if not self.revision:
-            self._removals_since = news.revision
+            self._removals_since = update.revision
         return bool(missing)
 
     def _forget_removals(self) -> None:
--- a/sedgering/mesh/_outbound.py
+++ b/sedgering/mesh/_outbound.py
@@ -15,11 +15,13 @@
     ----------
     state : RequestState
         Shared by all requests.
-    pause : PauseWatch
+    pause : PauseDetector
         Measures by how much the reading of requests lags.
     """
 
-    def __init__(self, state: _state.RequestState, pause: _pause.PauseWatch):
+    def __init__(
+        self, state: _state.RequestState, pause: _pause.PauseDetector
+    ):
         super().__init__()
         self.state = state
         self.pause = pause
--- a/sedgering/mesh/_pause.py
+++ b/sedgering/mesh/_pause.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 import logging
 
-__all__ = ['PauseWatch']
+__all__ = ['PauseDetector']
 
 LOG = logging.getLogger(__name__)
 
@@ -19,7 +19,7 @@
 SETTLE_S = 0.05
 
 
-class PauseWatch:
+class PauseDetector:
     """Measures how long the process was stopped until just now.
 
     A request that is read right after a pause may have arrived long ago, and
--- a/sedgering/mesh/_quota_hop.py
+++ b/sedgering/mesh/_quota_hop.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from sedgering.mesh import _peer_answers
+from sedgering.mesh import _peer_responses
 from sedgering import quota
 from sedgering import transport
 
@@ -52,7 +52,7 @@
 def encode_grant(grant: quota.QuotaGrant) -> transport.Response:
     """Encode the answer to a token request."""
     return transport.Response(
-        _peer_answers.STATUS_OK, [], _ENCODER.encode(grant)
+        _peer_responses.STATUS_OK, [], _ENCODER.encode(grant)
     )
 
 
@@ -64,4 +64,4 @@
     PeerError
         When the answer is an error or is not valid.
     """
-    return _peer_answers.decode_peer_answer(response, _GRANT_DECODER.decode)
+    return _peer_responses.decode_peer_answer(response, _GRANT_DECODER.decode)
--- a/sedgering/mesh/_relay.py
+++ b/sedgering/mesh/_relay.py
@@ -17,7 +17,7 @@
 from sedgering import exceptions
 from sedgering.mesh import _members
 from sedgering.mesh import _messages
-from sedgering.mesh import _peer_answers
+from sedgering.mesh import _peer_responses
 from sedgering.mesh import _rollout_log
 from sedgering.mesh import _source
 from sedgering.mesh import _versions
@@ -25,13 +25,13 @@
 
 __all__ = [
     'POLL_WAIT_S',
-    'RelayDesk',
-    'RelayNews',
+    'PollHandler',
     'RelayPoll',
+    'RelayUpdate',
     'choose_relays',
-    'decode_relay_news',
-    'encode_news',
+    'decode_relay_update',
     'encode_poll',
+    'encode_relay_update',
     'hash_text',
     'is_poll',
 ]
@@ -79,7 +79,7 @@
     rollouts: dict[str, int] | None = None
 
 
-class RelayNews(msgspec.Struct, frozen=True, array_like=True):
+class RelayUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Answer to a poll.
 
     Parameters
@@ -88,38 +88,38 @@
         Whether the relay is in contact with the store.
     version_revision : int
         Revision of the store up to which there is no newer version.
-    version : VersionNews or None
+    version : VersionUpdate or None
         None when the sender of the poll holds the newest version.
-    members : MemberNews or None
+    members : MemberUpdate or None
         Without entries when only the revision has grown.
-    rollouts : RolloutNews or None
+    rollouts : RolloutUpdate or None
         None when the sender of the poll knows all of them, or the relay does
         not.
     """
 
     is_fresh: bool
     version_revision: int
-    version: _versions.VersionNews | None
-    members: _members.MemberNews | None
-    rollouts: _rollout_log.RolloutNews | None = None
+    version: _versions.VersionUpdate | None
+    members: _members.MemberUpdate | None
+    rollouts: _rollout_log.RolloutUpdate | None = None
 
 
 class _RawMembers(msgspec.Struct, array_like=True):
-    """Member rows that may be invalid; see `MemberNews`."""
+    """Member rows that may be invalid; see `MemberUpdate`."""
 
     entries: tuple[msgspec.Raw, ...]
     revision: int
     is_complete: bool
 
 
-class _RawNews(msgspec.Struct, array_like=True):
-    """An update whose member rows may be invalid; see `RelayNews`."""
+class _RawUpdate(msgspec.Struct, array_like=True):
+    """An update whose member rows may be invalid; see `RelayUpdate`."""
 
     is_fresh: bool
     version_revision: int
-    version: _versions.VersionNews | None
+    version: _versions.VersionUpdate | None
     members: _RawMembers | None
-    rollouts: _rollout_log.RolloutNews | None = None
+    rollouts: _rollout_log.RolloutUpdate | None = None
 
 
 class _EntryKey(msgspec.Struct, array_like=True):
@@ -130,7 +130,7 @@
 
 
 _POLL_DECODER = msgspec.msgpack.Decoder(RelayPoll)
-_NEWS_DECODER = msgspec.msgpack.Decoder(RelayNews)
+_UPDATE_DECODER = msgspec.msgpack.Decoder(RelayUpdate)
 
 
 def choose_relays(
@@ -166,10 +166,10 @@
     )
 
 
-def encode_news(news: RelayNews) -> transport.Response:
+def encode_relay_update(update: RelayUpdate) -> transport.Response:
     """Encode the answer to a poll."""
     return transport.Response(
-        _peer_answers.STATUS_OK, [], _ENCODER.encode(news)
+        _peer_responses.STATUS_OK, [], _ENCODER.encode(update)
     )
 
 
@@ -178,7 +178,7 @@
     return request.find(MARK) is not None
 
 
-def decode_relay_news(response: transport.Response) -> RelayNews:
+def decode_relay_update(response: transport.Response) -> RelayUpdate:
     """Decode the answer to a poll.
 
     Raises
@@ -186,15 +186,15 @@
     PeerError
         When the response is a refusal or cannot be decoded.
     """
-    return _peer_answers.decode_peer_answer(response, _decode_news)
+    return _peer_responses.decode_peer_answer(response, _decode_update)
 
 
-def _decode_news(body: bytes) -> RelayNews:
+def _decode_update(body: bytes) -> RelayUpdate:
     try:
-        return _NEWS_DECODER.decode(body)
+        return _UPDATE_DECODER.decode(body)
     except msgspec.ValidationError as error:
-        news = msgspec.msgpack.decode(body, type=_RawNews)
-        if news.members is None:
+        update = msgspec.msgpack.decode(body, type=_RawUpdate)
+        if update.members is None:
             raise
         LOG.warning(
             'invalid member rows from a relay',
@@ -203,18 +203,18 @@
                 'detail': str(error),
             },
         )
-    entries = map(_decode_entry, news.members.entries)
-    members = _members.MemberNews(
+    entries = map(_decode_entry, update.members.entries)
+    members = _members.MemberUpdate(
         tuple(entry for entry in entries if entry is not None),
-        news.members.revision,
-        news.members.is_complete,
+        update.members.revision,
+        update.members.is_complete,
     )
-    return RelayNews(
-        news.is_fresh,
-        news.version_revision,
-        news.version,
+    return RelayUpdate(
+        update.is_fresh,
+        update.version_revision,
+        update.version,
         members,
-        news.rollouts,
+        update.rollouts,
     )
 
 
@@ -231,7 +231,7 @@
     return _members.MemberEntry(key.host, key.revision, None)
 
 
-class RelayDesk:
+class PollHandler:
     """Answers polls of other daemons.
 
     Parameters
@@ -259,22 +259,22 @@
             self._was_trusted = self.source.is_trusted
             self._schedule_check()
         try:
-            news = await self._wait_for_news(poll)
+            update = await self._wait_for_update(poll)
         finally:
             self.polls -= 1
-        return encode_news(news)
+        return encode_relay_update(update)
 
-    async def _wait_for_news(self, poll: RelayPoll) -> RelayNews:
+    async def _wait_for_update(self, poll: RelayPoll) -> RelayUpdate:
         loop = asyncio.get_running_loop()
         end_s = loop.time() + POLL_WAIT_S
         was_fresh = self.source.is_trusted
         while True:
-            news = self._find_news(poll)
+            update = self._make_update(poll)
             remaining_s = end_s - loop.time()
-            has_lost_store = was_fresh and not news.is_fresh
-            if _has_content(news) or has_lost_store or remaining_s <= 0:
-                return news
-            was_fresh = news.is_fresh
+            has_lost_store = was_fresh and not update.is_fresh
+            if _has_content(update) or has_lost_store or remaining_s <= 0:
+                return update
+            was_fresh = update.is_fresh
             await self.source.wait_for_change(remaining_s)
 
     def _schedule_check(self) -> None:
@@ -297,24 +297,24 @@
             self._was_trusted = is_trusted
             self.source.note_change()
 
-    def _find_news(self, poll: RelayPoll) -> RelayNews:
+    def _make_update(self, poll: RelayPoll) -> RelayUpdate:
         source = self.source
         members = None
         if poll.member_revision < source.members.revision:
-            members = source.members.find_news(poll.member_revision)
-        return RelayNews(
+            members = source.members.make_update(poll.member_revision)
+        return RelayUpdate(
             source.is_trusted,
             source.versions.revision,
-            source.versions.find_news(poll.version),
+            source.versions.make_update(poll.version),
             members,
-            source.rollouts.find_news(poll.rollouts),
+            source.rollouts.make_update(poll.rollouts),
         )
 
 
-def _has_content(news: RelayNews) -> bool:
+def _has_content(update: RelayUpdate) -> bool:
     """Return whether an update is worth an answer before the timeout."""
-    members = news.members
+    members = update.members
     has_members = members is not None and (
         members.entries or members.is_complete
     )
-    return bool(news.version or has_members or news.rollouts)
+    return bool(update.version or has_members or update.rollouts)
--- a/sedgering/mesh/_rollout_driver.py
+++ b/sedgering/mesh/_rollout_driver.py
@@ -128,7 +128,7 @@
 
     def _find_rank(self, target_set: base.TargetSetName) -> int:
         """Return this daemon's rank among those that watch the store."""
-        rows = _follow.list_watching(
+        rows = _follow.list_store_watchers(
             self.fleet.members, self.peers.mesh_settings.relay_from_hosts
         )
         hosts = [row.host for row in rows]
@@ -260,7 +260,9 @@
         outcome = await self.source.rollout_store.write(row, revision)
         if outcome.kind is storage.OutcomeKind.DONE:
             entry = _rollout_log.RolloutEntry(outcome.revision, row)
-            self.source.take_rollouts(_rollout_log.RolloutNews((), (entry,)))
+            self.source.merge_rollouts(
+                _rollout_log.RolloutUpdate((), (entry,))
+            )
             return
         LOG.info(
             'rollout not written',
--- a/sedgering/mesh/_rollout_log.py
+++ b/sedgering/mesh/_rollout_log.py
@@ -8,7 +8,7 @@
 from sedgering import base
 from sedgering import rollout
 
-__all__ = ['RolloutEntry', 'RolloutLog', 'RolloutNews']
+__all__ = ['RolloutEntry', 'RolloutLog', 'RolloutUpdate']
 
 LOG = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
     rollout: rollout.Rollout
 
 
-class RolloutNews(msgspec.Struct, frozen=True, array_like=True):
+class RolloutUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Orders and rollouts that one daemon sends to another.
 
     Parameters
@@ -63,10 +63,10 @@
         self._orders: dict[base.TargetSetName, rollout.Order] = {}
         self._entries: dict[base.TargetSetName, RolloutEntry] = {}
 
-    def merge(self, news: RolloutNews) -> bool:
+    def merge(self, update: RolloutUpdate) -> bool:
         """Merge an update; return whether anything in it was new."""
         is_changed = False
-        for order in news.orders:
+        for order in update.orders:
             known = self._orders.get(order.target_set)
             if known is None or order.revision > known.revision:
                 self._orders[order.target_set] = order
@@ -79,7 +79,7 @@
                         'version': order.revision,
                     },
                 )
-        for entry in news.entries:
+        for entry in update.entries:
             is_changed |= self._merge_entry(entry)
         return is_changed
 
@@ -192,12 +192,14 @@
             known[ROLLOUT_KEY + name] = entry.revision
         return known
 
-    def find_news(self, known: dict[str, int] | None) -> RolloutNews | None:
+    def make_update(
+        self, known: dict[str, int] | None
+    ) -> RolloutUpdate | None:
         """Return an update for a daemon that knows some revisions."""
         if not self.is_known:
             return None
         if known is None:
-            return RolloutNews(
+            return RolloutUpdate(
                 tuple(self._orders.values()), tuple(self._entries.values())
             )
         orders = tuple(
@@ -210,7 +212,7 @@
             for name, entry in self._entries.items()
             if entry.revision > known.get(ROLLOUT_KEY + name, 0)
         )
-        return RolloutNews(orders, entries) if orders or entries else None
+        return RolloutUpdate(orders, entries) if orders or entries else None
 
     def list_orders(self) -> tuple[rollout.Order, ...]:
         """Return all orders, including withdrawn ones."""
--- a/sedgering/mesh/_rollout_store.py
+++ b/sedgering/mesh/_rollout_store.py
@@ -75,7 +75,7 @@
         One row for each target set.
     post : callable
         Called with the rows that changed.
-    store_return : StoreReturn
+    store_recovery : StoreRecovery
         State of the daemon's connection to the store.
     """
 
@@ -83,12 +83,12 @@
         self,
         table: storage.WatchedTable,
         post: Callable[[list[_rollout_log.RolloutEntry]], None],
-        store_return: _watch.StoreReturn,
+        store_recovery: _watch.StoreRecovery,
     ):
-        super().__init__('watch-rollouts', table, store_return)
+        super().__init__('watch-rollouts', table, store_recovery)
         self.post = post
         #: No batching: a daemon that learns of a stage late delays all others.
-        self.gather_s = 0.0
+        self.batch_delay_s = 0.0
         self._refusals = observability.RefusalLog(LOG, logging.ERROR)
 
     async def read_all(self) -> int:
--- a/sedgering/mesh/_row_writer.py
+++ b/sedgering/mesh/_row_writer.py
@@ -38,7 +38,7 @@
         One row for each host.
     host : HostId
         Host whose row is written.
-    store_return : StoreReturn
+    store_recovery : StoreRecovery
         Shared by all tasks of the daemon that call the store.
     """
 
@@ -46,7 +46,7 @@
         self,
         table: storage.WatchedTable,
         host: base.HostId,
-        store_return: _watch.StoreReturn,
+        store_recovery: _watch.StoreRecovery,
     ):
         self.table = table
         self.host = host
@@ -58,8 +58,8 @@
         #: while it is not known.
         self._revision: int | None = None
         self._stored: bytes | None = None
-        self._pauses = _watch.Pauses(store_return)
-        self._pauses.longest_s = LONGEST_PAUSE_S
+        self._backoff = _watch.RetryBackoff(store_recovery)
+        self._backoff.longest_s = LONGEST_PAUSE_S
 
     def set_row(self, row: _messages.MemberRow | None) -> None:
         """Set the row to be written; it replaces one not yet written."""
@@ -114,7 +114,7 @@
                     await read()
                 if is_write_due:
                     await self._write(desired)
-                self._pauses.reset()
+                self._backoff.reset()
             except exceptions.PlatformError as error:
                 await self._note_failure(error, is_write_due)
             except Exception:
@@ -122,7 +122,7 @@
                 # never be updated again.
                 LOG.exception('row not written')
                 self._schedule_write(is_write_due)
-                await self._pauses.wait()
+                await self._backoff.wait()
 
     async def _note_failure(
         self, error: exceptions.PlatformError, is_write_due: bool
@@ -136,7 +136,7 @@
             # The write may have been executed, or may be executed later.
             self._revision = None
         self._schedule_write(is_write_due)
-        await self._pauses.wait()
+        await self._backoff.wait()
 
     def _schedule_write(self, is_write_due: bool) -> None:
         """Schedule another write, unless a newer row is already pending."""
--- a/sedgering/mesh/_shutdown_log.py
+++ b/sedgering/mesh/_shutdown_log.py
@@ -30,7 +30,7 @@
         Serves callers; provides the number of their requests and answers.
     inbound : InboundService
         Serves peers; provides the number of their calls and answers.
-    pause : PauseWatch
+    pause : PauseDetector
         Measures the delay of the event loop.
     counts : RequestCounts
         Counts what is aborted at the end.
@@ -40,7 +40,7 @@
         self,
         outbound: _outbound.OutboundService,
         inbound: _inbound.InboundService,
-        pause: _pause.PauseWatch,
+        pause: _pause.PauseDetector,
         counts: observability.RequestCounts,
     ):
         self.outbound = outbound
@@ -61,7 +61,7 @@
         """Log and count what the end of the daemon aborts."""
         callers = self.outbound.find_load()
         peers = self.inbound.find_load()
-        polls = self.inbound.desk.polls
+        polls = self.inbound.poll_handler.polls
         for label, number in (
             ('request', callers.requests),
             ('answer to a caller', callers.held_answers),
@@ -81,7 +81,7 @@
             key=lambda item: item.request.received_s,
         )
         cpu_s, self._cpu_s = self._cpu_s, time.process_time()
-        polls = self.inbound.desk.polls
+        polls = self.inbound.poll_handler.polls
         LOG.info(
             message,
             extra={
--- a/sedgering/mesh/_source.py
+++ b/sedgering/mesh/_source.py
@@ -84,15 +84,15 @@
         self.loop = loop
         self.versions = _versions.VersionLog()
         self.members = _members.MemberLog()
-        store_return = _watch.StoreReturn()
+        store_recovery = _watch.StoreRecovery()
         self._row_writer = _row_writer.MemberRowWriter(
-            members, host, store_return
+            members, host, store_recovery
         )
         self._config_watcher = _watch.ConfigWatcher(
-            config_row, self.take_version, store_return
+            config_row, self.apply_version, store_recovery
         )
         self._member_watcher = _watch.MemberWatcher(
-            members, self.take_members, store_return
+            members, self.merge_members, store_recovery
         )
         self.rollouts = _rollout_log.RolloutLog()
         self.rollout_store = rollout_store
@@ -100,9 +100,9 @@
         if rollout_store is None:
             self.rollouts.is_known = True
         else:
-            self._config_watcher.post_orders = self.take_orders
+            self._config_watcher.post_orders = self.merge_orders
             self._rollout_watcher = _rollout_store.RolloutWatcher(
-                rollout_store.table, self._take_rows, store_return
+                rollout_store.table, self._take_rows, store_recovery
             )
             self._rollout_watcher.set_enabled(False)
         #: Clock of the store minus that of the event loop; None until an
@@ -191,18 +191,21 @@
 
     def set_watching(self, is_watching: bool) -> None:
         """Enable or disable the watches of the store."""
-        wait_ms, gather_s = _watch.WATCH_WAIT_MS, _watch.GATHER_S
+        wait_ms, batch_delay_s = _watch.WATCH_WAIT_MS, _watch.BATCH_DELAY_S
         longest_pause_s = _watch.LONGEST_PAUSE_S
         reread_pause_s = _watch.REREAD_PAUSE_S
         if self.is_polled:
             reread_pause_s = _watch.POLLED_REREAD_PAUSE_S
-            wait_ms, gather_s = POLLED_WATCH_WAIT_MS, _watch.POLLED_GATHER_S
+            wait_ms, batch_delay_s = (
+                POLLED_WATCH_WAIT_MS,
+                _watch.POLLED_BATCH_DELAY_S,
+            )
             longest_pause_s = _watch.POLLED_LONGEST_PAUSE_S
         for watcher in (self._config_watcher, self._member_watcher):
             watcher.wait_ms = wait_ms
-            watcher.gather_s = gather_s
+            watcher.batch_delay_s = batch_delay_s
             watcher.reread_pause_s = reread_pause_s
-            watcher.pauses.longest_s = longest_pause_s
+            watcher.backoff.longest_s = longest_pause_s
             watcher.set_enabled(is_watching)
         self._is_watching = is_watching
         self._watch_rollouts()
@@ -247,7 +250,7 @@
             self._row_writer.set_stored_row(self.members.find_entry(self.host))
         self._row_writer.set_row(row)
 
-    def take_version(
+    def apply_version(
         self, config: _config.AcceptedConfig | None, revision: int
     ) -> None:
         """Apply a version from the store or from another daemon.
@@ -266,18 +269,18 @@
             self._on_config(config)
             self.note_change()
 
-    def take_members(self, news: _members.MemberNews) -> None:
+    def merge_members(self, update: _members.MemberUpdate) -> None:
         """Merge member rows from the store or from another daemon."""
         is_first = not self.members.revision
-        is_changed = self.members.merge(news)
-        self._member_watcher.skip_to(news.revision)
+        is_changed = self.members.merge(update)
+        self._member_watcher.skip_to(update.revision)
         own = self.members.find_entry(self.host)
         self._row_writer.check_stored_row(own.row, self.members.revision)
         if is_changed or is_first:
             self._on_members(self.members.list_members())
             self.note_change()
 
-    def take_orders(
+    def merge_orders(
         self,
         orders: list[rollout.Order],
         is_complete: bool,
@@ -310,25 +313,25 @@
         if not self.rollouts.list_orders() and not orders:
             # Without an order there is no rollout to wait for.
             self._note_rollouts_known()
-        self.take_rollouts(_rollout_log.RolloutNews(tuple(orders)), False)
+        self.merge_rollouts(_rollout_log.RolloutUpdate(tuple(orders)), False)
 
     def _take_rows(self, entries: list[_rollout_log.RolloutEntry]) -> None:
-        self.take_rollouts(_rollout_log.RolloutNews((), tuple(entries)))
+        self.merge_rollouts(_rollout_log.RolloutUpdate((), tuple(entries)))
 
-    def take_rollouts(
-        self, news: _rollout_log.RolloutNews, is_all: bool = True
+    def merge_rollouts(
+        self, update: _rollout_log.RolloutUpdate, is_all: bool = True
     ) -> None:
         """Merge orders and rollouts from the store or another daemon.
 
         Parameters
         ----------
-        news : RolloutNews
+        update : RolloutUpdate
             Orders and rollouts to merge.
         is_all : bool
             Whether all rows of rollouts are known afterwards: orders alone do
             not show how far their rollouts have progressed.
         """
-        is_changed = self.rollouts.merge(news)
+        is_changed = self.rollouts.merge(update)
         self._watch_rollouts()
         if is_all:
             self._note_rollouts_known()
@@ -353,7 +356,7 @@
         except TimeoutError:
             return
 
-    def note_newer(self, version: base.Version) -> None:
+    def note_peer_version(self, version: base.Version) -> None:
         """Record a version by which a peer routed a call.
 
         A version that is not yet known here usually arrives soon; if not, it
--- a/sedgering/mesh/_versions.py
+++ b/sedgering/mesh/_versions.py
@@ -12,7 +12,7 @@
 from sedgering.mesh import _config
 from sedgering import transport
 
-__all__ = ['VersionLog', 'VersionNews', 'decode_news']
+__all__ = ['VersionLog', 'VersionUpdate', 'decode_update']
 
 #: Deltas that are kept; a daemon that is further behind gets a full bundle.
 #: In a burst, a new version arrives every 60 ms, and daemons ask at least once
@@ -22,7 +22,7 @@
 BUNDLE_LIMIT_BYTES = 32 * 1024 * 1024
 
 
-class VersionNews(msgspec.Struct, frozen=True, array_like=True):
+class VersionUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A version, as a full bundle or as deltas from an earlier one.
 
     Parameters
@@ -107,7 +107,7 @@
         )
         return True
 
-    def find_news(self, version: base.Version) -> VersionNews | None:
+    def make_update(self, version: base.Version) -> VersionUpdate | None:
         """Return the update for a daemon that holds a version, if any."""
         newest = self.newest
         if newest is None or version >= newest.version:
@@ -119,7 +119,7 @@
         else:
             version = base.NO_VERSION
             steps = (self._encode_full_bundle(),)
-        return VersionNews(
+        return VersionUpdate(
             newest.version,
             version,
             steps,
@@ -144,14 +144,14 @@
     return bundles.compute_digest(bundles.encode_bundle(bundle))
 
 
-def decode_news(
-    news: VersionNews, held: _config.AcceptedConfig | None
+def decode_update(
+    update: VersionUpdate, held: _config.AcceptedConfig | None
 ) -> _config.AcceptedConfig:
     """Decode an update into the version that it contains.
 
     Parameters
     ----------
-    news : VersionNews
+    update : VersionUpdate
         Update from another daemon.
     held : AcceptedConfig or None
         Version that this daemon holds, to which deltas are applied.
@@ -161,31 +161,33 @@
     BundleError
         If the update is damaged, or its base version is not held.
     """
-    if not news.base_version:
-        encoded = bundles.decompress(news.steps[0], BUNDLE_LIMIT_BYTES)
-        bundle = bundles.decode_bundle(encoded, base.Digest(news.digest))
-    elif held is None or held.version != news.base_version:
+    if not update.base_version:
+        encoded = bundles.decompress(update.steps[0], BUNDLE_LIMIT_BYTES)
+        bundle = bundles.decode_bundle(encoded, base.Digest(update.digest))
+    elif held is None or held.version != update.base_version:
         raise exceptions.BundleError(
-            exceptions.Code.BUNDLE_BASE, f'version {news.base_version}'
+            exceptions.Code.BUNDLE_BASE, f'version {update.base_version}'
         )
     else:
-        bundle = _apply_deltas(news, held.bundle)
+        bundle = _apply_deltas(update, held.bundle)
     return _config.AcceptedConfig(
-        news.version, bundle, news.limits, news.health_paths
+        update.version, bundle, update.limits, update.health_paths
     )
 
 
-def _apply_deltas(news: VersionNews, bundle: bundles.Bundle) -> bundles.Bundle:
+def _apply_deltas(
+    update: VersionUpdate, bundle: bundles.Bundle
+) -> bundles.Bundle:
     """Compose the deltas into one, check its digest and apply it.
 
     Composing deltas is faster than encoding and hashing 1,200 routes, so a
     daemon that is three versions behind catches up in the time of one version.
     """
     joined = functools.reduce(
-        bundles.compose_deltas, map(bundles.decode_delta, news.steps)
+        bundles.compose_deltas, map(bundles.decode_delta, update.steps)
     )
-    if joined.digest != news.digest:
+    if joined.digest != update.digest:
         raise exceptions.BundleError(
-            exceptions.Code.BUNDLE_DIGEST, f'version {news.version}'
+            exceptions.Code.BUNDLE_DIGEST, f'version {update.version}'
         )
     return bundles.apply_delta(bundle, base.Digest(joined.base_digest), joined)
--- a/sedgering/mesh/_watch.py
+++ b/sedgering/mesh/_watch.py
@@ -22,8 +22,8 @@
     'ConfigRow',
     'ConfigWatcher',
     'MemberWatcher',
-    'Pauses',
-    'StoreReturn',
+    'RetryBackoff',
+    'StoreRecovery',
     'TableWatcher',
 ]
 
@@ -36,9 +36,9 @@
 #: Pause after a change, so that one call reads several changes in quick
 #: succession. It is a third of the shortest time in which a version must be in
 #: force.
-GATHER_S = 0.7
+BATCH_DELAY_S = 0.7
 #: The same in a daemon that others poll, since they wait for it.
-POLLED_GATHER_S = 0.6
+POLLED_BATCH_DELAY_S = 0.6
 #: How long followers rely on a watch that has lost the store: most such
 #: watches lose one connection and have another 0.3 s later. When the loss was
 #: reported at once, 88 daemons turned to the store together, each for the
@@ -102,7 +102,7 @@
         return await self.table.list_rows()
 
 
-class StoreReturn:
+class StoreRecovery:
     """Notifies all tasks of a daemon that the store answers again.
 
     During an outage one task calls the store and the others wait for it.
@@ -119,7 +119,7 @@
         self.is_away = False
         self._returned = asyncio.Event()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """End all pauses."""
         self.is_away = False
         self._returned.set()
@@ -134,32 +134,32 @@
             return
 
 
-class Pauses:
+class RetryBackoff:
     """Exponential back-off between calls to a failing store.
 
     Parameters
     ----------
-    store_return : StoreReturn
+    store_recovery : StoreRecovery
         Shared by the tasks that call the same store: the first one to get an
         answer ends the pauses of the others.
     """
 
-    def __init__(self, store_return: StoreReturn):
-        self.store_return = store_return
+    def __init__(self, store_recovery: StoreRecovery):
+        self.store_recovery = store_recovery
         self.longest_s = LONGEST_PAUSE_S
         self._pause_s = FIRST_PAUSE_S
         self._rng = random.Random()
 
     def reset(self) -> None:
         """Reset to the first pause after a success."""
-        if self._pause_s > FIRST_PAUSE_S or self.store_return.is_away:
-            self.store_return.tell()
+        if self._pause_s > FIRST_PAUSE_S or self.store_recovery.is_away:
+            self.store_recovery.notify()
         self._pause_s = FIRST_PAUSE_S
 
     async def wait(self) -> None:
         """Wait with jitter, and double the next pause."""
         longest_s = self._pause_s * self._rng.uniform(0.5, 1.0)
-        await self.store_return.wait(longest_s)
+        await self.store_recovery.wait(longest_s)
         self._pause_s = min(self.longest_s, 2 * self._pause_s)
 
 
@@ -172,7 +172,7 @@
         Name of the watch in logs.
     table : WatchedTable
         Table to watch.
-    store_return : StoreReturn
+    store_recovery : StoreRecovery
         Shared by all tasks of the daemon that call the store.
     """
 
@@ -183,14 +183,14 @@
         self,
         name: str,
         table: storage.WatchedTable,
-        store_return: StoreReturn,
+        store_recovery: StoreRecovery,
     ):
         self.name = name
         self.table = table
         #: Longest wait of one watch.
         self.wait_ms = WATCH_WAIT_MS
         #: Pause after changes.
-        self.gather_s = GATHER_S
+        self.batch_delay_s = BATCH_DELAY_S
         #: Pause before the first call.
         self.first_pause_s = 0.0
         #: Longest pause before a table is read again after the store has
@@ -204,8 +204,8 @@
         #: Time of the last failure that followed a success.
         self._last_loss_s = -math.inf
         self._is_lost = False
-        self.pauses = Pauses(store_return)
-        self._store_return = store_return
+        self.backoff = RetryBackoff(store_recovery)
+        self._store_recovery = store_recovery
         #: Called with the store's clock for each answer to a watch.
         self.on_clock: Callable[[int], None] | None = None
         self._is_enabled = asyncio.Event()
@@ -277,10 +277,10 @@
                 self.on_clock(page.now_ms)
             self.take_changes(page)
             if page.rows:
-                await asyncio.sleep(self.gather_s)
+                await asyncio.sleep(self.batch_delay_s)
 
     def _note_success(self) -> None:
-        self.pauses.reset()
+        self.backoff.reset()
         self.is_fresh = True
         self.heard_s = asyncio.get_running_loop().time()
         if self._is_lost:
@@ -309,10 +309,10 @@
                     'detail': f'{self.name}: {error.detail}',
                 },
             )
-        self._store_return.is_away |= self.probes_during_outage
-        await self.pauses.wait()
-        if self._store_return.is_away and not self.probes_during_outage:
-            await self._store_return.wait(PROBE_WAIT_S)
+        self._store_recovery.is_away |= self.probes_during_outage
+        await self.backoff.wait()
+        if self._store_recovery.is_away and not self.probes_during_outage:
+            await self._store_recovery.wait(PROBE_WAIT_S)
 
 
 class ConfigWatcher(TableWatcher):
@@ -325,7 +325,7 @@
     post : callable
         Called with each decoded version, or None, and the revision of the
         store up to which there is no newer version.
-    store_return : StoreReturn
+    store_recovery : StoreRecovery
         Shared by all tasks of the daemon that call the store.
     """
 
@@ -333,9 +333,9 @@
         self,
         row: ConfigRow,
         post: Callable[[_config.AcceptedConfig | None, int], None],
-        store_return: StoreReturn,
+        store_recovery: StoreRecovery,
     ):
-        super().__init__('watch-config', row.table, store_return)
+        super().__init__('watch-config', row.table, store_recovery)
         self.row = row
         self.post = post
         #: Called with the orders of a page; see `OnOrders`.
@@ -397,7 +397,7 @@
         One row for each host.
     post : callable
         Called with the changed rows.
-    store_return : StoreReturn
+    store_recovery : StoreRecovery
         Shared by all tasks of the daemon that call the store.
     """
 
@@ -406,10 +406,10 @@
     def __init__(
         self,
         table: storage.WatchedTable,
-        post: Callable[[_members.MemberNews], None],
-        store_return: StoreReturn,
+        post: Callable[[_members.MemberUpdate], None],
+        store_recovery: StoreRecovery,
     ):
-        super().__init__('watch-members', table, store_return)
+        super().__init__('watch-members', table, store_recovery)
         self.post = post
         self._refusals = observability.RefusalLog(LOG, logging.ERROR)
 
@@ -432,7 +432,7 @@
             )
             for row in rows.values()
         )
-        self.post(_members.MemberNews(entries, page.revision, is_complete))
+        self.post(_members.MemberUpdate(entries, page.revision, is_complete))
 
     def _decode(self, row: storage.Row) -> _messages.MemberRow | None:
         if row.is_removed:
