--- a/sedgering/mesh/_pause.py
+++ b/sedgering/mesh/_pause.py
@@ -68,10 +68,7 @@
         if lag_s > PAUSE_THRESHOLD_S:
             self._lag_s = lag_s
             self._settled_s = now_s + SETTLE_S
-            LOG.warning(
-                'process resumed after a pause',
-                extra={'age_ms': int(lag_s * 1000)},
-            )
+            LOG.warning('resumed', extra={'age_ms': int(lag_s * 1000)})
 
     def find_lag_s(self) -> float:
         """Return how long a request that is read now may have been unread."""
