--- a/sedgering/mesh/_hop.py
+++ b/sedgering/mesh/_hop.py
@@ -135,7 +135,7 @@
         )
         workspace, workspace_priority = _decode_workspace(request)
     except ValueError as error:
-        raise HopError(f'invalid call: {value!r}') from error
+        raise HopError(f'call: {value!r}') from error
     may_wait = request.find(FREE_PLACE) is None
     is_trial = request.find(TRIAL) is not None
     crashes = _decode_crashes(request.find(CRASHES))
--- a/sedgering/mesh/_quotas.py
+++ b/sedgering/mesh/_quotas.py
@@ -184,7 +184,7 @@
             return transport.make_json_response(400, {'error': str(error)})
         if not self.plans:
             return transport.make_json_response(
-                503, {'error': 'this daemon has no quotas in force'}
+                503, {'error': 'no quotas are known'}
             )
         try:
             grant = self.allocator.answer(token_request, self.now_s())
--- a/sedgering/platform/_reports.py
+++ b/sedgering/platform/_reports.py
@@ -53,7 +53,7 @@
             When the message is about another target.
         """
         if self.id is not msgspec.UNSET and self.id != target:
-            detail = f'id is {target} in the path, {self.id!r} in the body'
+            detail = f'{target} in the path, {self.id!r} in the body'
             raise exceptions.ReportError(exceptions.Code.REPORT_TARGET, detail)
         if self.born is msgspec.UNSET:
             return mesh.Lifetime(target)
@@ -144,7 +144,7 @@
 
 def _check_target(name: str) -> base.TargetName:
     if not _TARGET_ID.fullmatch(name):
-        raise _make_error(f'invalid target id {name!r}')
+        raise _make_error(f'id {name!r}')
     return base.TargetName(name)
 
 
@@ -181,7 +181,7 @@
 def _decode_state(text: str) -> mesh.TargetState:
     state = _TARGET_STATES.get(text)
     if state is None:
-        raise _make_error(f'unknown state {text!r}')
+        raise _make_error(f'state {text!r}')
     return state
 
 
@@ -191,7 +191,7 @@
     except ValueError as error:
         raise _make_error(str(error)) from error
     if cold_ms > MAX_COLD_MS:
-        raise _make_error(f'cold_remaining is too long: {text}')
+        raise _make_error(f'cold for {text}')
     return cold_ms
 
 
--- a/sedgering/platform/_wire.py
+++ b/sedgering/platform/_wire.py
@@ -47,7 +47,7 @@
     """
     match = _DURATION.fullmatch(text)
     if match is None:
-        raise ValueError(f'not a duration: {text!r}')
+        raise ValueError(f'no duration: {text!r}')
     number, unit = match.groups()
     return round(float(number) * (1000 if unit == 's' else 1))
 
@@ -62,5 +62,5 @@
     """
     match = _VERSION.fullmatch(text)
     if match is None:
-        raise ValueError(f'not a version: {text!r}')
+        raise ValueError(f'no version: {text!r}')
     return base.Version(int(match.group(1)))
--- a/sedgering/transport/_client.py
+++ b/sedgering/transport/_client.py
@@ -216,7 +216,7 @@
             deadline_s = max(started_s, self.heard_s) + silence_s
             remaining_s = deadline_s - self.loop.time()
             if remaining_s <= 0:
-                raise ExchangeFailed(f'no data received for {silence_s:.1f} s')
+                raise ExchangeFailed(f'silent for {silence_s:.1f} s')
             await asyncio.wait((exchange,), timeout=remaining_s)
 
     def abandon(self) -> None:
@@ -259,7 +259,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
             self.is_sound = False
             if not self._is_answered():
-                self._fail(f'malformed response: {e}')
+                self._fail(f'malformed answer: {e}')
         self._notify_end()
 
     def eof_received(self):
@@ -330,7 +330,7 @@
         self._body_size += len(body)
         if self._body_size > BODY_LIMIT_BYTES:
             self.is_sound = False
-            self._fail('response body too large')
+            self._fail('answer too large')
             return
         self._chunks.append(body)
 
@@ -356,7 +356,7 @@
             self._skipped_responses += 1
             LOG.info('discarded a response to another request')
             if self._skipped_responses > SKIPPED_RESPONSES_LIMIT:
-                self._fail('too many responses to other requests')
+                self._fail('too many answers of other requests')
             return
         self._update_keep_alive(response)
         if not self._is_answered():
