--- a/features/quotas.feature
+++ b/features/quotas.feature
@@ -41,7 +41,7 @@
   Scenario: The crash of an allocator causes almost no refusals
     The shares leased to a crashed allocator are unused for 1.2 s.  With one
     allocator for each shard, 9 of 100 requests were refused for 6 s after its
-    crash.  With two allocators of half the rates each it is 1 in 1,000.
+    crash.  With two allocators, of half the rates each, 1 in 1,000 is refused.
     Given 24 daemons and 12 workspaces of which some are large
     When they ask for 60 % of their quotas for 2 s
     And an allocator crashes, and they go on for 4 s
@@ -50,8 +50,8 @@
   Scenario: The other partition's allocator does not replace a crashed one
     If both partitions ranked the hosts in the same direction, from
     neighbouring positions, the first crash would make one host the allocator
-    of both.  The crash of that host refused 45 of 100 requests for 3 s (24
-    daemons, trial).
+    of both.  When that host crashed, 45 of 100 requests were refused for 3 s
+    (trial with 24 daemons).
     Then of 24 hosts the two partitions share none while most run
 
   Scenario: A third of the hosts is disconnected
@@ -132,12 +132,12 @@
     Then 4 tokens were taken, and targets saw more than 4 requests
 
   Scenario: An allocator of a mesh is killed
-    The one partition that is left has 56 tokens and must grant the 40 that
-    are asked for, so both buckets must be full before.  When the test began as
-    soon as all hosts had leased their shares, it failed once in 12 runs; with
-    half-full buckets once in 6 (35 answered, 5 refused with 429).  The requests
-    are sent one after the other: with 40 at once the gates were full too, and
-    3 runs in 10 had refusals with 503.
+    The remaining partition has 56 tokens and must grant the 40 that are
+    requested, so the buckets of both partitions must be full before the kill.
+    Started as soon as all hosts had leased their shares, the test failed once
+    in 12 runs; with half-full buckets, once in 6 (35 answered, 5 refused with
+    429).  The requests are sent one after the other: with 40 at once, the
+    gates were full, too, and 3 runs in 10 had refusals with 503.
     Given a mesh of four hosts with a quota of 200 a second for "crew"
     And the buckets of both partitions are full
     When an allocator is killed, and callers of another host send 40 requests
--- a/features/rollouts.feature
+++ b/features/rollouts.feature
@@ -1,7 +1,7 @@
 Feature: A new version of a target set is rolled out as a canary
   The operator orders that the calls of a set move to targets of another
-  version of its software.  Without a trial, targets of a bad version got six
-  of sixteen calls, and the whole set failed.
+  version of its software.  Without a trial, the targets of a bad version got
+  six of sixteen calls, and the whole set failed.
 
   Scenario Outline: Which versions get calls
     Given a rollout from v1 to v2 in the stage <stage>
@@ -90,9 +90,9 @@
 
   Scenario Outline: A row that arrives before its order is not rolled back
     Guards against the rollback of a good version, seen 0.7 s after its order.
-    Rows are watched without a pause during a rollout, orders with one, so that
-    a daemon may have the row of a second rollout alone.  It must not take the
-    missing order as withdrawn.
+    During a rollout, daemons watch rows without a pause, but orders with one,
+    so a daemon may have the row of a second rollout before its order.  It must
+    not treat the missing order as withdrawn.
     Given a daemon that has the row of a rollout based on order 7
     When it receives <order>
     Then it <verb> what to do with the rollout, of which the order <stands>
@@ -106,8 +106,8 @@
 
   Scenario: Stages are timed only by the clock of the store
     Guards against the rollback of a good version, seen 0.5 s after its order.
-    A daemon that had the order from a relay, and no answer of the store yet,
-    had written the time of its own clock as the start of the rollout.
+    A daemon had received the order from a relay, but no answer from the store
+    yet, and wrote the time of its own clock as the start of the rollout.
     Given a fleet with 4 calendar targets of the version v1
     Then each daemon that watches the store knows its clock
     And a daemon that does not know it writes no rollout row
--- a/sedgering/access/_identity.py
+++ b/sedgering/access/_identity.py
@@ -1,4 +1,8 @@
-"""Authenticates a request, and decides whether the answer is certain."""
+"""Authenticates requests by API key, and tells whether a refusal is certain.
+
+A refusal is uncertain if a newer version might accept the key, or if a known
+key may have been revoked.
+"""
 
 from collections.abc import Sequence
 
@@ -24,9 +28,9 @@
     Parameters
     ----------
     is_current : bool
-        Whether the daemon would know of a newer version.
+        Whether the daemon would know of a newer version if there were one.
     staleness_s : float
-        Time since it last knew for certain that there is none.
+        Time since the daemon last knew for certain that there was none.
     """
 
     is_current: bool = True
@@ -41,7 +45,7 @@
     is_strict : bool
         Whether the daemon stops serving known keys when its data is stale.
     max_staleness_s : float
-        Staleness after which it does so.
+        Largest staleness at which a strict daemon serves known keys.
     """
 
     is_strict: bool = False
@@ -107,8 +111,8 @@
     Returns
     -------
     Identity
-        On a route that needs no key nothing is refused: a request with an
-        unknown key is anonymous there.
+        On a route that needs no key, no request is refused: one with an
+        unknown key is treated as anonymous.
 
     Notes
     -----
--- a/sedgering/balance/_remote.py
+++ b/sedgering/balance/_remote.py
@@ -1,15 +1,16 @@
-"""Whether a call leaves its data centre."""
+"""Decides whether a call is sent to another data centre."""
 
 import msgspec
 
 __all__ = ['Offer', 'RemoteThreshold', 'make_distance']
 
 BYTES_PER_KB = 1000
-#: Upper bound of the required gain, however large an answer is: a call whose
-#: chance to end in time nearly doubles in another data centre goes there.
+#: Upper bound of the required gain, whatever the size of the answer: a call
+#: whose chance to end in time nearly doubles in another data centre is sent
+#: there.
 MAX_GAIN_PERCENT = 40
-#: Share of calls in time below which the latency goal counts as missed; then
-#: only the expected times are compared.
+#: Share of calls that end in time below which the latency goal counts as
+#: missed; then only the expected times are compared.
 MIN_IN_TIME_SHARE = 0.05
 
 
@@ -21,7 +22,7 @@
     expected_ms : float
         Time until the call is expected to have ended there.
     in_time_share : float
-        Share of such calls that end in the time that they have, 0 to 1.
+        Share of such calls that end in the time that is left, 0 to 1.
     """
 
     expected_ms: float
@@ -38,16 +39,17 @@
     Parameters
     ----------
     min_gain_share : float
-        By how much the share of calls in time must rise, 0 to 1.
+        By how much the share of calls that end in time must rise, 0 to 1.
     min_saved_ms : float
-        If hardly any calls end in time, by how much the call must end sooner.
+        By how much sooner the call must end, in milliseconds; used when hardly
+        any calls end in time.
     """
 
     min_gain_share: float
     min_saved_ms: float
 
     def is_worth_asking(self, near: Offer) -> bool:
-        """Whether any target elsewhere could meet the required gain."""
+        """Whether a target elsewhere could reach the required gain."""
         return near.in_time_share + self.min_gain_share < 1
 
     def prefers_far(self, near: Offer, far: Offer) -> bool:
@@ -79,10 +81,10 @@
     Parameters
     ----------
     gain_percent, gain_percent_per_kb : float
-        Required gain in the percentage of calls in time: for any call, and
-        in addition for each kilobyte of it and of its answer.
+        Required rise of the percentage of calls that end in time: for any
+        call, and in addition for each kilobyte of the call and its answer.
     size_bytes : float
-        Size of the call and its usual answer.
+        Total size of the call and its usual answer.
     min_saved_ms : float
         See :class:`RemoteThreshold`.
     """
--- a/sedgering/bundle/_snapshot.py
+++ b/sedgering/bundle/_snapshot.py
@@ -29,7 +29,7 @@
 
 
 class Snapshot:
-    """A validated bundle, indexed for lookups.  Immutable.
+    """An immutable, validated bundle, indexed for lookups.
 
     A request takes the snapshot once and uses it until the request ends.
 
@@ -120,7 +120,7 @@
 
     Notes
     -----
-    Readers read :attr:`snapshot` without a lock.  It is replaced by a single
+    :attr:`snapshot` is read without a lock.  It is replaced by a single
     reference assignment, so a reader gets either the old snapshot or the new
     one, never a mixture.
     """
@@ -154,8 +154,8 @@
         bundle : Bundle
             Bundle, which is validated by this method.
         floor : Version
-            Lowest version accepted: an earlier incarnation of this host may
-            have held it.
+            Lowest version accepted, because an earlier lifetime of the daemon
+            on this host may already have had it in force.
 
         Returns
         -------
--- a/sedgering/cli/_losses.py
+++ b/sedgering/cli/_losses.py
@@ -24,15 +24,15 @@
 #: Prefix of a line in a log collected from several daemons: a time in seconds
 #: since an origin common to all of them, then the host.
 _TIME_PREFIX = re.compile(r'\s*(-?\d+(?:\.\d+)?)\s')
-#: Messages about requests that a daemon answered in place of a target.
+#: Log messages about requests that a daemon answered instead of a target.
 _REFUSED_MESSAGES = frozenset(
     ('request refused', 'request rejected at the source')
 )
 _ANSWERED_MESSAGE = 'request answered'
 #: Lowest HTTP status of a target that counts as a lost request.
 MIN_FAILURE_STATUS = 500
-#: Reason reported for a request whose attempts were still awaiting answers,
-#: so that it may have been running when it ended.
+#: Reason reported for a request that ended while attempts still awaited an
+#: answer, so that a target may have been running it.
 AWAITED_REASON = 'awaited'
 _HEADER = (
     f'{"from s":>8} {"lost":>6} {"code":>10} {"tries":>5} {"hop":8}'
@@ -64,7 +64,7 @@
 
 
 class LossRow(msgspec.Struct, frozen=True, order=True):
-    """Number of requests lost in the same window and in the same way.
+    """Number of lost requests that agree in all other fields.
 
     Parameters
     ----------
@@ -189,7 +189,7 @@
 
 
 def _decode_lines(lines: Iterable[str]) -> Iterator[tuple[float, dict]]:
-    """Yield the time in seconds and the fields of each line of a daemon."""
+    """Yield the time in seconds and the fields of each daemon log line."""
     first_written_at: datetime.datetime | None = None
     for line in lines:
         start = line.find('{')
--- a/sedgering/mesh/_quotas.py
+++ b/sedgering/mesh/_quotas.py
@@ -1,7 +1,7 @@
 """Enforces the quotas of workspaces at one daemon.
 
-The package `quota` decides.  This module sends and answers token requests,
-and holds the requests of callers that wait for tokens.
+The package `quota` makes the decisions.  This module sends and answers token
+requests, and lets the requests of callers wait for tokens.
 """
 
 import asyncio
@@ -32,17 +32,17 @@
 
 #: Longest wait of a request for its token; a round trip takes 1 to 3 ms.
 WAIT_S = 0.15
-#: Part of that wait for the first partition that is asked.
+#: Part of that wait that is spent on the first partition asked.
 FIRST_WAIT_S = 0.05
-#: Hosts with narrower links are asked last: an allocator gets some 200
-#: messages a second.
+#: Hosts with less bandwidth rank last as allocators: an allocator receives
+#: about 200 messages a second.
 MIN_LINK_MBPS = 10
 #: Workspaces with a metric label of their own; the others share one.
 LABELLED_LIMIT = 16
 OTHERS_LABEL = 'rest'
-#: Bounds of the time after which a refused caller returns, as shares of the
-#: time until there are tokens.  The spread keeps callers that were refused
-#: together from returning together.
+#: Bounds of the retry time sent to a refused caller, relative to the time
+#: until there are tokens.  The spread keeps callers that were refused together
+#: from retrying together.
 RETRY_AFTER_SHARES = (1.0, 1.6)
 MIN_RETRY_AFTER_S = 0.05
 #: Length of the random id that tells lifetimes of a daemon apart.
@@ -67,7 +67,7 @@
     counts : RequestCounts
         Counts granted, refused and returned tokens.
     rng : random.Random
-        Spreads the returns of refused callers, and the renewals of leases.
+        Spreads the retries of refused callers, and the renewals of leases.
     now_s : callable
         Returns the time of the event loop.
     """
@@ -95,7 +95,8 @@
             rng.getrandbits(LIFETIME_ID_BITS)
         )
         self.host_tracker = quota.HostTracker()
-        #: Hosts that may be allocators, and those of them with wide links.
+        #: Hosts that may be allocators, and those of them whose bandwidth is
+        #: unknown or at least `MIN_LINK_MBPS`.
         self._eligible: tuple[frozenset, frozenset] = (frozenset(),) * 2
         self._shards = 0
         self._is_leaving = False
@@ -135,9 +136,9 @@
         Parameters
         ----------
         workspace : str
-            Whose token.
+            Workspace of the request.
         until_s : float
-            Time of the event loop at which the request ends.
+            Deadline of the request, as time of the event loop.
         """
         start_s = now_s = self.now_s()
         token = None
@@ -156,7 +157,7 @@
         return token
 
     def give_back(self, token: quota.Permit) -> None:
-        """Return the token of a request that has not run to the cache."""
+        """Put the token of a request that did not run back into the cache."""
         self.permit_cache.put_back(token, self.now_s())
         self._count('quota_returned', token.workspace)
 
@@ -286,7 +287,11 @@
         self._update_clients()
 
     def refresh_hosts(self, now_s: float) -> None:
-        """Update the hosts that share the rates, as their delays end."""
+        """Update the hosts that share the rates.
+
+        They change without a change of the members, too: when the delay of a
+        new host or the grace period of a removed one ends.
+        """
         counted = self.host_tracker.list_counted(now_s)
         established = self.host_tracker.list_established(now_s)
         self.allocator.set_hosts(counted, established, now_s)
@@ -294,7 +299,10 @@
             client.standalone.set_hosts(counted, established, now_s)
 
     def leave(self) -> None:
-        """Start no more leases: others will soon count one host less."""
+        """Start no more leases, as others will soon stop counting this host.
+
+        They then divide the rates among the remaining hosts.
+        """
         now_s = self.now_s()
         self._is_leaving = True
         for client in self._clients.values():
@@ -358,7 +366,10 @@
         self.refresh_hosts(now_s)
 
     def _replace_clients(self, now_s: float) -> None:
-        """Make the clients of other shards; former leases run to their end."""
+        """Replace all clients after the number of shards has changed.
+
+        Leases that the former clients started run until their end.
+        """
         self.stop()
         for client in self._clients.values():
             client.refuse_all()
@@ -374,7 +385,7 @@
             self._tasks[partition] = loop.create_task(client.run())
 
     def _rank_hosts(self, partition: quota.PartitionId) -> list[base.HostId]:
-        """Rank the possible allocators; those with narrow links come last."""
+        """Rank the possible allocators; those with slow links come last."""
         hosts, wide = self._eligible
         ranked = quota.rank_allocators(hosts, partition)
         return sorted(ranked, key=lambda host: host not in wide)
@@ -382,7 +393,7 @@
     def _order_clients(
         self, workspace: base.WorkspaceName
     ) -> list[_quota_client.PartitionClient]:
-        """Return the clients of a workspace, the one to ask first first."""
+        """Return the clients of a workspace, the preferred one first."""
         partitions = quota.find_partitions(workspace, self._shards)
         first = quota.choose_first_partition(self.identity.host, workspace)
         return [
--- a/sedgering/overload/_admission.py
+++ b/sedgering/overload/_admission.py
@@ -20,22 +20,23 @@
 __all__ = ['AdmissionController', 'AdmissionDecision', 'AdmissionRequest']
 
 #: Time constant of the sums over a daemon's calls.  At ten calls a second to a
-#: set it covers twenty calls, and bursts of load last longer.
+#: set it covers twenty calls, and bursts of load last longer than that.
 TIME_CONSTANT_S = 2.0
-#: Work admitted for each unit that is accepted.  Gates need some calls to
-#: choose from, so that no place stays empty by chance.  A set whose demand is
-#: little more than its capacity refuses no more than a third anyway.
+#: Work admitted for each unit of work that is accepted.  Gates need some calls
+#: to choose from, so that no slot stays empty by chance.  A set whose demand
+#: is little above its capacity refuses no more than a third of its calls
+#: anyway.
 HEADROOM = 1.5
-#: Share of each rank that is admitted in any case: one of the callers that
-#: return later then shows whether there is capacity again.
+#: Share of the calls of each rank that is always admitted: callers that retry
+#: later then reveal whether there is capacity again.
 PROBE_SHARE = 0.05
 #: Smallest admitted share of the calls of any workspace, relative to the
-#: admitted share of all calls.  A workspace must be served at least a quarter
-#: as often as all, and gates refuse some of the admitted calls.
+#: admitted share of all calls.  The served share of a workspace must be at
+#: least a quarter of the overall one, and gates refuse some admitted calls.
 MIN_WORKSPACE_SHARE = 0.5
-#: Demand on the places of a set from which on the set counts as overloaded.
-#: Below it callers find a place at the second gate that they ask, or a moment
-#: later.
+#: Demand on the slots of a set at which the set counts as overloaded.  Below
+#: it, callers find a free slot at the second gate that they ask, or shortly
+#: afterwards.
 OVERLOAD_PERCENT = 120.0
 #: Weight of the newest report in the average demand on a set: about the last
 #: seven answers count.
@@ -63,16 +64,16 @@
     priority : int
         Priority of its route; 0 is served first.
     is_early_retry : bool
-        Whether its caller retried sooner than it was told.  Such calls rank
-        behind the others of their priority, so an early retry has no
-        advantage.
+        Whether its caller retried before the retry time that it was given.
+        Such calls rank behind the others of their priority, so an early retry
+        has no advantage.
     workspace : str
         Workspace of the caller.
     workspace_priority : int
         Priority of the workspace, compared before `priority`.
     is_nested : bool
-        Whether a target waits for it.  Such a call is never rejected here, as
-        the work of its parent would be lost.
+        Whether a target waits for its answer while serving another call.  Such
+        a call is never rejected here, as the work of its parent would be lost.
     """
 
     target_set: base.TargetSetName
@@ -105,7 +106,7 @@
     share : float
         Admitted share of the calls of its rank and workspace, 0 to 1.
     demand_percent : float
-        Demand on the places of the set, as its gates report it.
+        Demand on the slots of the set, as its gates report it.
     age_ms : int
         Age of the newest report, in milliseconds.
     """
@@ -119,7 +120,7 @@
 class _SetState:
     """What is known of one target set.
 
-    All its sums of work decay, and are relative to one landmark.
+    All its sums of work decay, and share one landmark.
     """
 
     def __init__(self):
@@ -169,7 +170,7 @@
         target_set : str
             Target set of the gate.
         demand_percent : float
-            Demand on the places of the set.
+            Demand on the slots of the set.
         now_s : float
             Time of the event loop.
         """
@@ -224,7 +225,7 @@
         state.accepted_ms = max(0.0, state.accepted_ms - work_ms)
 
     def retain(self, target_sets: frozenset[base.TargetSetName]) -> None:
-        """Drop all other target sets."""
+        """Drop the state of all other target sets."""
         for name in [name for name in self._sets if name not in target_sets]:
             del self._sets[name]
 
@@ -264,7 +265,7 @@
 
 
 def _find_min_share(state: _SetState, call: AdmissionRequest) -> float:
-    """Return the share of the calls that is admitted in any case."""
+    """Return the share of the calls that is always admitted."""
     if call.workspace == base.NO_WORKSPACE:
         return PROBE_SHARE
     requested_ms = sum(work.total_ms for work in state.requested.values())
--- a/sedgering/overload/_shares.py
+++ b/sedgering/overload/_shares.py
@@ -8,24 +8,25 @@
 
 __all__ = ['ShareStanding', 'WorkspaceShares']
 
-#: Time constant over which shares are met.  It spans several work times, so
-#: that a workspace that sends too many calls is distinguished from one that
-#: sent two by chance.
+#: Time constant of the sums of work from which shares are computed.  It spans
+#: several work times, so that a workspace that sends too many calls is
+#: distinguished from one that happened to send two.
 TIME_CONSTANT_S = 2.0
 #: Factor by which a workspace may exceed its fair share before its calls rank
-#: behind others: one call in ten, which is less than chance causes.
+#: behind others.  The tolerance, one call in ten, is smaller than random
+#: deviations.
 OVER_FACTOR = 1.1
-#: A workspace whose served share is below this part of the served share of all
-#: goes before the others.  None may fall below a quarter; at a half there is
-#: still time to prevent that.
+#: A workspace whose served share is below this fraction of the overall one is
+#: served before the others.  No workspace may fall below a quarter; at a half
+#: there is still time to prevent that.
 STARVED_SHARE = 0.5
-#: Number of calls that a workspace must have sent before it counts as starved:
-#: fewer may be refused by chance.
+#: Number of calls that a workspace must have sent before it counts as starved;
+#: fewer calls may all be refused by chance.
 MIN_CALLS = 3.0
 
 
 class ShareStanding(enum.IntEnum):
-    """How a workspace was served lately; smaller values go first."""
+    """How a workspace was served recently; smaller values go first."""
 
     #: Served far less often than the others.
     STARVED = 0
@@ -51,13 +52,13 @@
     def note_served(
         self, workspace: base.WorkspaceName, work_ms: float, now_s: float
     ) -> None:
-        """Count a call that got a place."""
+        """Count a call that got a slot."""
         self._add(self._served, workspace, work_ms, now_s)
 
     def find_standing(
         self, workspace: base.WorkspaceName, work_ms: float, now_s: float
     ) -> ShareStanding:
-        """Return how a workspace was served lately.
+        """Return how a workspace was served recently.
 
         Parameters
         ----------
--- a/sedgering/platform/_store.py
+++ b/sedgering/platform/_store.py
@@ -14,9 +14,10 @@
 
 __all__ = ['StoreClient', 'decode_rows']
 
-#: Most conditions and writes of one transaction, as the store documents.
+#: Largest number of conditions and writes in one transaction, as documented
+#: by the store.
 ENTRIES_LIMIT = 100
-#: Most rows of one response.
+#: Largest number of rows requested in one response.
 PAGE_ROWS = 500
 #: Revision that no row ever has: the largest integer that every JSON parser
 #: represents exactly.
@@ -31,9 +32,9 @@
     410: exceptions.Code.PLATFORM_HISTORY,
     STATUS_PRECONDITION_FAILED: exceptions.Code.PLATFORM_CONFLICT,
     429: exceptions.Code.PLATFORM_BUSY,
-    # The store has changed nothing.
+    # The store refused the request and has changed nothing.
     503: exceptions.Code.PLATFORM_DOWN,
-    # The storage for objects is full.
+    # The object storage is full.
     507: exceptions.Code.PLATFORM_REFUSED,
 }
 _JSON_HEADERS = (('Content-Type', 'application/json'),)
@@ -84,7 +85,7 @@
             First key, and the first key after the range; empty for no
             bound.
         limit : int
-            Most rows returned; 0 for all.
+            Largest number of rows to return; 0 for all.
 
         Raises
         ------
@@ -201,7 +202,7 @@
         Parameters
         ----------
         conditions, puts : sequence of tuple
-            Each item with the name of its table.
+            Pairs of the name of a table and a condition or write.
 
         Raises
         ------
--- a/sedgering/quota/_allocator.py
+++ b/sedgering/quota/_allocator.py
@@ -9,21 +9,21 @@
 
 __all__ = ['QuotaAllocator']
 
-#: Partitions held at a time.  There are more only while daemons disagree on
-#: the number of shards.
+#: Largest number of partitions held at a time.  A daemon is asked for more
+#: only while daemons disagree on the number of shards.
 PARTITIONS_LIMIT = 16
 
 
 class QuotaAllocator:
-    """The buckets of all partitions for which this daemon is asked.
+    """Holds the buckets of the partitions that this daemon is asked for.
 
-    A daemon becomes the allocator of a partition when it is first asked for
-    it, without an election, and starts with empty buckets.
+    There is no election: a daemon becomes the allocator of a partition when it
+    receives the first request for it, and starts with empty buckets.
 
     Parameters
     ----------
     lifetime_id : int
-        Identifies this lifetime of the daemon; another one after each start.
+        Identifies this lifetime of the daemon; it differs after each start.
     """
 
     def __init__(self, lifetime_id: int):
@@ -36,11 +36,11 @@
 
     @property
     def partitions(self) -> tuple[_ranking.PartitionId, ...]:
-        """Partitions for which this daemon was asked."""
+        """Partitions that this daemon was asked for."""
         return tuple(self._buckets)
 
     def find_leased_share(self, partition: _ranking.PartitionId) -> float:
-        """Return the part of all hosts that lease their shares."""
+        """Return the fraction of all hosts that lease their shares."""
         return self._buckets[partition].leased_share
 
     def list_leased_hosts(
@@ -53,7 +53,7 @@
     def find_level(
         self, partition: _ranking.PartitionId, workspace: base.WorkspaceName
     ) -> float:
-        """Return how many tokens of a workspace can be granted."""
+        """Return the number of tokens in the bucket of a workspace."""
         buckets = self._buckets.get(partition)
         return buckets.find_level(workspace) if buckets else 0.0
 
--- a/sedgering/quota/_ranking.py
+++ b/sedgering/quota/_ranking.py
@@ -1,8 +1,9 @@
 """Assigns workspaces to shards, and daemons to the partitions of a shard.
 
-Workspaces are hashed to shards.  Each shard has two partitions, with an
-allocator and half of all rates each: when one allocator crashes, the tokens
-of the other partition serve until hosts lease their shares to a successor.
+Workspaces are hashed to shards.  Each shard has two partitions; each of them
+has its own allocator and half of each rate.  When one allocator crashes, the
+other partition still grants tokens until the hosts have leased their shares to
+a successor.
 """
 
 from collections.abc import Iterable
@@ -28,9 +29,9 @@
 #: disagree on that number use different ids, so their leases are kept apart.
 PartitionId = NewType('PartitionId', str)
 
-#: Smallest number of hosts for each shard, once there are two shards; up to
-#: twice as many share one.  An allocator answers each host some five times a
-#: second.
+#: Smallest number of hosts per shard when there is more than one shard; there
+#: are always fewer than twice as many.  An allocator answers each host about
+#: five times a second.
 HOSTS_PER_SHARD = 64
 PARTITIONS_PER_SHARD = 2
 
@@ -94,7 +95,7 @@
     Raises
     ------
     ValueError
-        When it is not.
+        If the id is invalid.
     """
     _split_id(partition_id)
     return partition_id
@@ -105,7 +106,7 @@
 ) -> list[base.HostId]:
     """Return the possible allocators of a partition, the best first.
 
-    The two partitions of a shard use one order from opposite ends, so the
+    The two partitions of a shard rank the hosts in opposite orders, so the
     successor of a crashed allocator is not the allocator of the other
     partition.
     """
--- a/sedgering/quota/_session.py
+++ b/sedgering/quota/_session.py
@@ -2,8 +2,8 @@
 
 The share of a host is leased to one allocator at a time.  A lease starts at a
 timestamp that the allocator sent earlier and lasts `LEASE_S`.  The daemon
-received that timestamp after it was taken, so it knows a latest end of the
-lease, even if the allocator reads its request late.
+received that timestamp after it was taken, so it knows an upper bound for the
+end of the lease, even if the allocator reads its request late.
 """
 
 from collections.abc import Sequence
@@ -18,18 +18,20 @@
 __all__ = ['LEASE_S', 'AllocatorSession']
 
 #: Length of a lease.  When an allocator crashes, the shares leased to it are
-#: unused for so long.  Each host renews its lease at least twice in this time.
+#: unused for this long.  Each host renews its lease at least twice in this
+#: time.
 LEASE_S = 1.2
-#: Added to the length of a lease by the host whose share is leased, because
-#: the clocks of two hosts differ a little in speed.
+#: Margin that the host whose share is leased adds to the length of the lease,
+#: because the clocks of two hosts run at slightly different rates.
 LEASE_MARGIN_S = 0.02
 #: Number of best-ranked hosts that are probed together when there is no
 #: allocator.
 CANDIDATES_LIMIT = 4
-#: Requests in a row without an answer after which the allocator is given up.
-#: A lost packet is sent again after 0.2 s.
+#: Number of consecutive unanswered requests after which the allocator is
+#: dropped.  A lost packet is retransmitted after 0.2 s.
 FAILURES_LIMIT = 2
-#: For how long a host that did not answer is not asked, at first and at most.
+#: Shortest and longest time for which a host that did not answer is not asked
+#: again; the time doubles with each further failure.
 BACKOFF_S = 1.0
 BACKOFF_LIMIT_S = 4.0
 
@@ -42,7 +44,7 @@
 
 
 class AllocatorSession:
-    """State of one daemon towards the allocators of one partition.
+    """Tracks the allocator and the lease of one daemon in one partition.
 
     Parameters
     ----------
@@ -68,7 +70,7 @@
         #: Which allocator may use this host's share, and until when.
         self.leased_to = NO_HOST
         self.lease_end_s = now_s + LEASE_S + LEASE_MARGIN_S
-        #: Until when a request that timed out may still start a lease.
+        #: Latest end of a lease that a timed-out request may have started.
         self.timed_out_lease_end_s = now_s
         self.answered_s = now_s
         self.failures = 0
@@ -103,7 +105,10 @@
         return self.leased_to == self.allocator or now_s >= self.lease_end_s
 
     def is_standalone(self, now_s: float) -> bool:
-        """Whether no allocator answers, and this host's share is free."""
+        """Whether no allocator answers, and this host's share is not leased.
+
+        False after `find_standalone_end_s`, and while the daemon leaves.
+        """
         return (
             self.stamp is None
             and not self.is_leaving
@@ -112,11 +117,15 @@
         )
 
     def find_standalone_end_s(self) -> float:
-        """Return until when the daemon may work without an allocator."""
+        """Return the time until which the daemon may use its own share."""
         return self.answered_s + _hosts.STANDALONE_LIMIT_S
 
     def find_unused_s(self, now_s: float) -> float:
-        """Return for how long nobody can use this host's share."""
+        """Return the time until this host's share can be used again.
+
+        No other allocator may use it before the lease to a former one has
+        ended.
+        """
         if self.leased_to == self.allocator and self.stamp is not None:
             return 0.0
         return max(0.0, self.lease_end_s - now_s)
@@ -174,7 +183,7 @@
         self._backoffs[host] = _Backoff(now_s + pause_s, pause_s)
 
     def reset_allocator(self) -> None:
-        """Give up the allocator; the lease runs until its end."""
+        """Drop the allocator; a lease to it still runs until its end."""
         self.allocator = NO_HOST
         self.stamp = None
         self.failures = 0
--- a/sedgering/rollout/_plan.py
+++ b/sedgering/rollout/_plan.py
@@ -1,4 +1,4 @@
-"""When a rollout advances to its next stage."""
+"""Decides when a rollout advances to its next stage."""
 
 import msgspec
 
@@ -8,20 +8,22 @@
 
 __all__ = ['Observation', 'make_rollout', 'plan_next']
 
-#: Bounds of the trial, as shares of the ordered duration.  A good version gets
-#: all calls no earlier than the first: some versions turn bad seconds after
-#: their start, and from then on every call is exposed.  A version without a
-#: verdict at the second is rolled back, as the move needs the remaining time.
+#: Bounds of the trial, as shares of the duration in the order.  A good version
+#: gets all calls no earlier than the first bound: some versions turn bad
+#: seconds after their start, and after the trial every call is exposed.  A
+#: version without a verdict at the second bound is rolled back, as the move
+#: needs the remaining time.
 MIN_TRIAL_SHARE = 0.5
 MAX_TRIAL_SHARE = 0.66
-#: Share of the ordered duration at which the rollout succeeds even if calls
-#: still run at the old version.
+#: Share of the duration in the order at which the rollout succeeds even if
+#: calls still run at the old version.
 FORCED_END_SHARE = 0.92
-#: Time for which the old version still accepts calls while senders learn that
-#: calls go to the new one; a bundle takes as long to be in force everywhere.
+#: Time for which the old version still accepts calls, while senders learn that
+#: calls go to the new one; a bundle takes this long to be in force everywhere.
 MOVING_MS = 1800
 #: Shortest time for which the old version accepts no calls before the rollout
-#: succeeds and it may end; its daemons learn of the stage in this time.
+#: succeeds and the targets of the old version may stop.  Their daemons learn
+#: of the stage in this time.
 MIN_SETTLING_MS = 1200
 
 _Stage = _model.Stage
@@ -90,7 +92,7 @@
     order = observation.order
     if order is None:
         # The order was withdrawn.  During a trial the old version still gets
-        # most calls; later, its targets are still there to take them back.
+        # most calls; later, its targets still run and can take the calls back.
         return _Stage.ROLLED_BACK
     if rollout.stage is _Stage.TRIAL:
         return _plan_trial(rollout, observation)
@@ -132,7 +134,10 @@
 def _plan_settling(
     rollout: _model.Rollout, observation: Observation, stage_age_ms: int
 ) -> _model.Stage:
-    """Wait until the old version is idle: its targets may end unannounced."""
+    """Wait until the old version is idle.
+
+    Its targets may stop without notice once the rollout has succeeded.
+    """
     age_ms = observation.now_ms - rollout.began_ms
     if age_ms >= FORCED_END_SHARE * observation.order.duration_ms:
         return _Stage.SUCCEEDED
--- a/sedgering/rollout/_verdict.py
+++ b/sedgering/rollout/_verdict.py
@@ -1,4 +1,4 @@
-"""Whether a new version is as good as the old one.
+"""Decides whether a new version is as good as the old one.
 
 A call is bad when it fails, or takes several times the median latency of its
 route at the old version.  Both versions are under the same load from the same
@@ -21,27 +21,29 @@
 ]
 
 #: A call is slow if it takes more than four times (8 buckets) the median of
-#: its route.  With lognormal work times of a log standard deviation of 0.8,
-#: these are 4 % of the calls at equal speed and 19 % at half the speed.  If
-#: half of the calls of a version are eight times slower, 32 to 45 % are slow.
+#: its route.  If work times are lognormal with a log standard deviation of
+#: 0.8, 4 % of the calls are slow at equal speed, and 19 % at half the speed.
+#: If half of the calls of a version are eight times slower, 32 to 45 % are
+#: slow.
 SLOW_BUCKETS = 8
-#: Calls of the old version on a route before its median is used.
+#: Number of calls of the old version on a route before its median is used.
 MIN_OLD_RUNS = 16
 #: Excess share of bad calls that is accepted in the new version compared with
-#: the old one: it has few targets, and some are slower than others.
+#: the old one: the new version has few targets, and some targets are slower
+#: than others.
 TOLERATED_SHARE = 0.08
 #: Upper bound of the share of bad calls that is accepted.
 MAX_ACCEPTED_SHARE = 0.7
-#: Smallest excess share of bad calls, beyond the accepted one, of a version
-#: that is to be found bad.
+#: Smallest excess over the accepted share of bad calls at which a version is
+#: to be found bad.
 MIN_HARM_SHARE = 0.2
 #: Error probabilities of the test: that a good version is found bad, and that
 #: a bad version is found good.
 FALSE_BAD_PROBABILITY = 1 / 4000
 FALSE_GOOD_PROBABILITY = 1 / 400
 #: Failures at one target, and their share of its calls, at which its daemon
-#: stops the trial on its own.  The row with the verdict would reach it a
-#: second later.
+#: stops the trial on its own.  The row with the verdict would reach the daemon
+#: only a second later.
 LOCAL_STOP_FAILURES = 8
 LOCAL_STOP_SHARE = 0.3
 
@@ -65,9 +67,10 @@
     """Test the calls of the new version against the accepted share.
 
     Wald's sequential probability ratio test (1945).  It ends as soon as the
-    evidence suffices for either verdict.  With windows of 60 calls, a version
-    that fails half of its calls harmed 54 callers in the median, with this
-    test 34.  A version that is twice as slow was rolled back in 2 of 200 runs.
+    evidence suffices for either verdict.  A version that fails half of its
+    calls harmed 34 callers in the median with this test, and 54 with a test on
+    windows of 60 calls.  A version that is twice as slow was rolled back in 2
+    of 200 runs.
 
     Parameters
     ----------
@@ -129,7 +132,7 @@
     slow_limits: dict[base.RouteName, int],
     accepted_share: float,
 ) -> Verdict:
-    """Test the sum and each route; bad on one route is bad."""
+    """Test the total and each route; one bad route makes the verdict bad."""
     counts_by_route = _count_by_route(
         _evidence.merge_routes(evidence), slow_limits
     )
--- a/sedgering/transport/_pacing.py
+++ b/sedgering/transport/_pacing.py
@@ -1,9 +1,9 @@
 """Paces the responses that share the outgoing link of a host.
 
-A large response that is written at once fills the send queue of a slow link
-and delays everything behind it: 0.5 MB take 0.6 s at 7.5 Mbit/s.  Large
-responses are therefore written in pieces at the rate of the link, one
-response after the other, and small ones are sent between the pieces.
+A large response that is written in one piece fills the send queue of a slow
+link and delays everything behind it: 0.5 MB take 0.6 s at 7.5 Mbit/s.  Large
+responses are therefore written in pieces at the rate of the link, one response
+after the other, and small ones are sent between the pieces.
 """
 
 import asyncio
@@ -12,7 +12,8 @@
 
 __all__ = ['LinkPacer', 'PacedWrite', 'make_pacer']
 
-#: Smaller responses are written at once: they take 9 ms at 7.5 Mbit/s.
+#: Smaller responses are written in one piece: they take at most 9 ms at
+#: 7.5 Mbit/s.
 PACING_THRESHOLD_BYTES = 8 * 1024
 #: Size of a piece.  It limits how long a small response waits behind a large
 #: one, to 17 ms at 7.5 Mbit/s; a piece costs about 20 us of processor time.
@@ -20,8 +21,8 @@
 #: Share of the link bandwidth for responses; the rest is for calls,
 #: heartbeats and packet headers.
 PACED_LINK_SHARE = 0.92
-#: Bandwidth from which responses are not paced: there the largest ones take
-#: 20 ms.
+#: Bandwidth at and above which responses are not paced: the largest ones take
+#: 20 ms there.
 UNPACED_LINK_MBPS = 200
 BITS_PER_BYTE = 8
 
@@ -94,11 +95,11 @@
         return backlog_s + self.queued_bytes / self.bytes_per_s
 
     def note_small(self, size_bytes: int) -> None:
-        """Account for a response that was written at once."""
+        """Account for a response that was written without pacing."""
         self._occupy_link(size_bytes)
 
     def submit(self, item: PacedWrite) -> None:
-        """Queue a response behind those that wait."""
+        """Queue a response behind those that are waiting."""
         self._writes.append(item)
         if self._timer is None:
             self._write_pieces()
--- a/sedgering/transport/_server.py
+++ b/sedgering/transport/_server.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1 server connections: complete requests, responses in order."""
+"""HTTP/1.1 server connections.
+
+A request is answered once it has been received completely.  The responses of a
+connection are sent in the order of its requests.
+"""
 
 import abc
 import asyncio
@@ -30,8 +34,9 @@
 TCP_USER_TIMEOUT_MS = 4000
 #: Idle time before the first TCP keep-alive probe, and between probes.
 KEEPALIVE_INTERVAL_S = 2
-#: Total size of the request bodies that one process holds; beyond it requests
-#: with a body are refused.  A fifth of the smallest memory limit, 200 MB.
+#: Largest total size of the request bodies that one process holds; beyond it,
+#: requests with a body are refused.  It is a fifth of the smallest memory
+#: limit, 200 MB.
 BODY_MEMORY_LIMIT_BYTES = 40 * 1024 * 1024
 #: How long a caller may take to close after its last response; also the
 #: interval at which unsent data is checked while lingering.
@@ -142,12 +147,12 @@
         return load
 
     def make_error_response(self, status: int) -> _messages.Response:
-        """Make the error response to a request that could not be read."""
+        """Make the response to a request that failed or cannot be read."""
         return _messages.make_json_response(status, {'error': status})
 
 
 class _Pending:
-    """A request and its response, in the order of the connection."""
+    """A request of a connection that has not been answered yet."""
 
     __slots__ = (
         'coroutine',
@@ -220,7 +225,7 @@
         self._chunks: list[bytes] = []
         self._body_size = 0
         self._fields_bytes = 0
-        #: Largest head of the request that is being read.
+        #: Size limit for the head of the request that is being read.
         self._head_limit_bytes = 0
         self._url = b''
         self._is_reading_head = False
@@ -290,7 +295,10 @@
             self.transport.pause_reading()
 
     def eof_received(self):
-        """Close the connection: a half-closed caller counts as gone."""
+        """Close the connection, also if the caller has closed only one side.
+
+        A half-closed caller counts as disconnected.
+        """
         return False
 
     # Callbacks of the parser.
@@ -316,8 +324,8 @@
     def on_header(self, name, value):
         """Add one header field; trailer fields are dropped.
 
-        Trailer fields are not validated.  Merged into the head, they would be
-        taken for header fields that were (RFC 9110, section 6.5.1).
+        Trailer fields are not validated.  If they were merged into the head,
+        they would pass for validated header fields (RFC 9110, section 6.5.1).
         """
         self._fields_bytes += len(name) + len(value)
         if self._fields_bytes > self._head_limit_bytes:
@@ -356,7 +364,7 @@
         self._chunks.append(body)
 
     def on_message_complete(self):
-        """Start to answer a complete request."""
+        """Start answering a complete request."""
         request = self._request
         request.body = b''.join(self._chunks)
         self._chunks = []
@@ -473,8 +481,9 @@
     def _linger(self):
         """Close once the caller has closed, or some time after the last write.
 
-        A request that crosses the close, or the rest of a refused one, would
-        reset a closed connection.  A caller that reads slowly then loses the
+        A socket that is closed at once resets the connection when more data
+        arrives: a request that was already on its way, or the rest of a
+        refused one.  A caller that reads slowly then loses the rest of the
         response (12 kB of 300 kB arrived).
         """
         if not self._is_lingering:
