--- a/features/connections.feature
+++ b/features/connections.feature
@@ -1,11 +1,11 @@
 Feature: Cancellation of a connection attempt
-  Guards against a lost cancellation: when the store reset connections, a
-  daemon failed to stop about once in twelve stops, its watch tasks kept
-  running, and the process of the tests never ended.  If the inner operation completes in the iteration of the event
-  loop in which the task is cancelled, asyncio.wait_for returns the result
-  instead of raising the cancellation, and the task continues.
-  The test therefore cancels attempts after each number of iterations, up to
-  more than an attempt needs.
+  Guards against a lost cancellation.  When the store reset connections, about
+  one in twelve attempts to stop a daemon failed: its watch tasks kept running,
+  and the test process never ended.  If the inner operation completes in the
+  iteration of the event loop in which the task is cancelled, asyncio.wait_for
+  returns the result instead of raising the cancellation, and the task
+  continues.  The test therefore cancels attempts after every number of loop
+  iterations, up to more than an attempt needs.
 
   Scenario: An attempt to connect can be cancelled at any time
     Given a server that accepts connections
--- a/features/gate.feature
+++ b/features/gate.feature
@@ -109,9 +109,9 @@
   Scenario: Failed calls do not raise the reported work time
     Guards against reporting failures as longer work.  While the targets of one
     set refused half of the calls, only 8 of 239 callers were served within
-    their goal although slots were free: with the inflated work time no call
-    seemed able to meet its goal, from its first attempt on, and new callers
-    waited behind returning ones.
+    their goal although slots were free.  With the inflated work time, even
+    first attempts seemed unable to meet their goal, so that new callers waited
+    behind returning ones.
     Given a gate with 12 slots where work takes 100 ms
     And 20 calls were done after 100 ms each
     When the target refuses 50 calls
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,12 +1,13 @@
 Feature: Requests of a daemon that shuts down
-  Guards against requests that end with their connection although the daemon
-  accepted them after the shutdown signal and their targets have answered.
-  In a rolling restart, with a grace time of 5.6 s and callers that waited
-  7 s, connections of such requests were closed 2.9 and 3.6 s after their
-  targets had answered, while the answers were still in transfer over full
-  links.  This happens when the end of the daemon does not limit its requests,
-  or when an answer that has been written to the socket no longer counts as
-  under way.  An answer that is late for any reason reproduces it.
+  Guards against closing the connection of a request before its answer is
+  delivered, although the daemon accepted the request after the shutdown signal
+  and its target has answered.  In a rolling restart, with a grace time of
+  5.6 s and callers that waited 7 s, connections of such requests were closed
+  2.9 and 3.6 s after their targets had answered, while the answers were still
+  in transfer over full links.  This happens when the deadline of a request is
+  not limited by the end of the daemon, or when an answer that has been written
+  to the socket no longer counts as in flight.  An answer that is late for any
+  reason reproduces it.
 
   Background:
     Given a mesh with two calendar hosts
--- a/sedgering/mesh/_crash_watch.py
+++ b/sedgering/mesh/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Detects crashes of the local target and names the suspect requests."""
+"""Detects crashes of the local target and identifies suspect requests."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,7 +19,7 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Timeout of the probe.  A connection on the own host takes 0.1 ms, and the
+#: Timeout of the probe.  Connecting to the local target takes 0.1 ms, and the
 #: senders of lost calls wait for the result.
 PROBE_TIMEOUT_MS = 100
 PROBE_TIMEOUT_S = PROBE_TIMEOUT_MS / 1000
@@ -38,7 +38,7 @@
         Time at which it was sent, and its deadline, in seconds of event loop
         time.
     is_trial : bool
-        Whether it runs as a suspect.
+        Whether it is a trial run of a suspect request.
     """
 
     request: transport.Request
@@ -51,8 +51,9 @@
 class CrashWatch:
     """Detects crashes of the local target.
 
-    A connection that closes without an answer proves little, because targets
-    also reset single connections.  A refused connection proves a crash.
+    A connection that closes without an answer is not sufficient evidence,
+    because targets also reset single connections.  A refused connection proves
+    a crash.
 
     Parameters
     ----------
@@ -74,7 +75,7 @@
         self.now_s = now_s
         #: Recent crashes, sent to other daemons in the member row.
         self.records: tuple[_crash_records.CrashRecord, ...] = ()
-        #: Called with the record of each crash, which may name no request.
+        #: Called with the record of each crash, with or without suspects.
         self.on_crash: Callable[[_crash_records.CrashRecord], None] = _ignore
         self._is_listening = is_listening
         self._lost = _lost_calls.LostCalls()
@@ -123,7 +124,7 @@
         for sent in in_flight:
             self.add_lost_call(sent)
         suspects = self._lost.take(lifetime, self.now_s())
-        # Requests that ran as suspects first, then the latest ones.
+        # Trial runs of suspect requests come first, then the latest requests.
         ranked = sorted(suspects, key=suspects.get, reverse=True)
         selected = ranked[: _crash_records.MAX_SUSPECTS]
         record = _crash_records.CrashRecord(
--- a/sedgering/mesh/_daemon.py
+++ b/sedgering/mesh/_daemon.py
@@ -63,8 +63,8 @@
 #: take together: work may be aborted only in the last sixth of the grace time.
 FINAL_SHARE = 0.15
 #: Largest number of daemons of the same target set that are notified directly
-#: of a crash; others learn of it from the member row. A notice costs about 0.5
-#: ms of processor time on the two hosts together.
+#: of a crash; others learn of it from the member row. A notice costs about
+#: 0.5 ms of processor time on the two hosts together.
 CRASH_NOTICES_LIMIT = 64
 #: States of a row whose target may be running, so that the result of its
 #: health check is accepted.
@@ -288,7 +288,7 @@
         self._note_ready()
 
     def _update_permit(self) -> None:
-        """Open or close the gate as rollouts permit the target version."""
+        """Open or close the gate: rollouts decide which versions may run."""
         target_client = self.state.target_client
         report = target_client.target.report
         if report is None:
@@ -337,11 +337,12 @@
     def _needs_confirmation(self, report: _messages.TargetReport) -> bool:
         """Whether a second report must confirm this one before the gate opens.
 
-        The report may be a delayed one of a target that deregistered with a
-        previous process of this daemon while no row could be written. Such a
-        target received calls and ended while they ran, also once the store was
-        back with the old row. A target that is running reports again after 1.5
-        s, and answers its health check before that.
+        The report may be delayed, from a target that has deregistered with a
+        previous process of this daemon while the store was unavailable, so
+        that its row was not updated. Without confirmation, such a target
+        received calls and ended while they ran, also after the store had
+        recovered with the outdated row. A running target reports again after
+        1.5 s, and answers its health check before that.
         """
         is_first = report.sequence <= _target.FIRST_SEQUENCE
         is_ready = report.state is _messages.TargetState.READY
@@ -376,7 +377,7 @@
         return lifetime
 
     def _check_set(self, target_set: base.TargetSetName) -> None:
-        """Refuse a target set that settings and bundle do not define."""
+        """Refuse a target set that neither settings nor bundle define."""
         if target_set == self.identity.target_set:
             return
         snapshot = self.state.config.snapshot
@@ -418,9 +419,9 @@
     def _send_crash_notices(self, record: _crash_records.CrashRecord) -> None:
         """Notify other daemons of a crash of the local target.
 
-        Only daemons of the same target set are notified directly: each is the
-        only caller of its target. A crash without suspected requests needs no
-        notice.
+        Only daemons of the same target set are notified directly: all calls to
+        a target pass through the daemon of its host. A crash without suspect
+        requests needs no notice.
         """
         self._publish_target()
         if not record.suspects:
--- a/sedgering/mesh/_exchange.py
+++ b/sedgering/mesh/_exchange.py
@@ -21,25 +21,26 @@
 
 __all__ = ['Exchange']
 
-#: Longest timeout that a caller may state. A request that states none has that
-#: of its route.
+#: Longest timeout that a caller may state. A request that states none gets the
+#: timeout of its route's policy.
 MAX_DEADLINE_MS = 3_600_000
-#: Attempts beyond the hops limit at hosts that name another target, which are
-#: asked again with it, or that have none that listens: such a refusal takes a
-#: round trip of 3 ms. Counting them made requests fail with four of six
-#: targets gone, though two could have served them.
+#: Maximum number of attempts that do not count towards the hops limit. These
+#: are refused by a host that reports another target, and is then asked again
+#: for that one, or that has no listening target. Such a refusal takes a round
+#: trip of 3 ms. When they counted, requests failed with four of six targets
+#: gone, although the other two could have served them.
 UNCOUNTED_HOPS_LIMIT = 8
-#: Refusals by load shedding after which a request is given up.
+#: Number of refusals by load shedding after which no other host is tried.
 SHEDS_LIMIT = 2
 #: Maximum number of attempts in flight listed in a log line; few routes allow
 #: more.
 LOGGED_ATTEMPTS_LIMIT = 4
 SERVER_ERROR = 500
-#: Kind under which answers of targets are counted by workspace.
+#: Label under which the answers of targets are counted for each workspace.
 COUNTED_ANSWER = 'answered'
-#: Bounds of Retry-After for a caller whose key may be new: a daemon that lags
-#: behind has the newest version within about 2 s, and the caller may reach
-#: another daemon before.
+#: Bounds of Retry-After for a caller whose key may be newer than the version
+#: of this daemon. An outdated daemon gets the newest version within about 2 s,
+#: and an earlier retry may reach a daemon that is up to date.
 KEY_RETRY_AFTER_S = (0.3, 1.0)
 
 _Outcome = _messages.CallOutcome
@@ -50,7 +51,7 @@
 _CLOSING_REASONS = frozenset(
     (_Reason.WRONG_TARGET, _Reason.TARGET_UNKNOWN, _Reason.LEAVING)
 )
-#: Outcomes that show that the target set had no capacity in time.
+#: Error codes of requests that the target set had no capacity for in time.
 _OVERLOAD_CODES = frozenset(
     (exceptions.Code.REQUEST_SHED, exceptions.Code.REQUEST_LATE)
 )
@@ -359,7 +360,7 @@
             )
 
     def _reset_sheds(self) -> None:
-        """Allow hosts that shed the request before a long silence again."""
+        """Allow hosts again that shed the request before a long silence."""
         self.chooser.shed_refusals = 0
         self.chooser.tried = {
             attempt.peer.row.host for attempt in self.attempts
@@ -372,7 +373,7 @@
 
     def _make_call(self, row: _messages.MemberRow) -> _messages.TargetCall:
         now_s = self._now_s
-        # Results after the end of this daemon would reach nobody.
+        # A result cannot be delivered after this daemon has ended.
         deadline_s = min(self.deadline_s, self.state.serving.end_s)
         call = _messages.TargetCall(
             request=self.request,
@@ -395,7 +396,7 @@
         return call
 
     def _learn(self, peer: _peers.Peer, answer: _messages.CallAnswer) -> None:
-        """Update the state of the target and the request by an answer."""
+        """Update the state of the target and the request from an answer."""
         if answer.load is not None:
             self._learn_demand(peer, answer.load.demand_percent)
         if answer.reason is _Reason.BUSY:
@@ -431,10 +432,10 @@
                     self.chooser.uncounted_hops < UNCOUNTED_HOPS_LIMIT
                 )
         elif answer.reason is _Reason.SUSPECTED:
-            # This may be the target where the request may run.
+            # A suspect request may run on one target only: possibly this one.
             self.chooser.tried.discard(peer.row.host)
         elif answer.reason is _Reason.CONNECTION_LOST and answer.crashes:
-            # Its target has ended; the row shows that a moment later.
+            # The target has crashed; its row is updated a moment later.
             peer.close(self._now_s, _Reason.TARGET_UNKNOWN)
         elif answer.reason is _Reason.UNREACHABLE:
             self.chooser.was_unreachable = True
@@ -472,7 +473,7 @@
     def _may_retry_host(
         self, peer: _peers.Peer, answer: _messages.CallAnswer
     ) -> bool:
-        """Apply a host's row of its target; return whether to ask it again."""
+        """Apply the row in a refusal; return whether to ask the host again."""
         member = answer.member
         self.state.apply_reported_row(member)
         is_other = member.lifetime != peer.row.lifetime
@@ -493,8 +494,8 @@
             return None
         is_not_run = answer.outcome is _Outcome.NOT_RUN
         if is_not_run and not answer.reached_target:
-            # Nothing reached a target: neither attempts nor the retry budget
-            # are charged.
+            # Nothing reached a target, so that the next attempt counts neither
+            # towards the limit of attempts nor towards the retry budget.
             return (
                 self.chooser.choose()
                 if self.chooser.shed_refusals < SHEDS_LIMIT
@@ -505,7 +506,7 @@
         return None
 
     def _choose_retry(self, has_run: bool) -> _peers.Peer | None:
-        """Choose the target of a retry within attempts and retry budget."""
+        """Choose the target of a retry if attempts and budget allow one."""
         if not self._may_retry():
             return None
         peer = self.chooser.choose()
@@ -520,13 +521,13 @@
     def _spend_retry(self, has_run: bool) -> bool:
         """Take a retry from the budget; return whether it allows one.
 
-        A rerun is limited to a smaller share, since it repeats the calls that
-        the request made.
+        A retry of a request that may have run is limited to a smaller share of
+        the budget, since it repeats the calls that the first run made.
         """
         limits = self.state.mesh_settings
         share = 1.0
         if has_run:
-            # Without any retries, both shares are zero.
+            # Avoid division by zero: both settings are 0 without retries.
             whole_percent = max(1, limits.retry_share_percent)
             share = min(1.0, limits.rerun_share_percent / whole_percent)
         return self.state.budget.take(self.target_set, self._now_s, share)
--- a/sedgering/mesh/_gate.py
+++ b/sedgering/mesh/_gate.py
@@ -1,15 +1,15 @@
 """Admission control for the local target: admits, queues or refuses calls.
 
 A call is queued only while it is likely to be served.  Calls that can
-probably end within their latency goal are queued ahead of late ones; a late
-call gets only slots that the others leave free.  A call that is not expected
-to end in time is refused at once, so that its caller can try another host or
-retry later.
+probably end within their latency goal ("calls in time") are queued ahead of
+late ones; a late call gets only slots that the others leave free.  A call
+that is not expected to end in time is refused at once, so that its caller can
+try another host or retry later.
 
 Refusing on arrival keeps a standing queue from forming.  In a simulation of
 a target set that is offered 1.1 times its capacity for three seconds, 79 % of
-its callers are answered within their goal; with a queue that holds calls up
-to their deadline 34 % are.
+the callers are answered within their goal, compared with 34 % when calls are
+queued up to their deadline.
 """
 
 import asyncio
@@ -36,26 +36,26 @@
 WORK_QUANTILE = 0.85
 #: Upper bound of `retry_after_ms`, also where the estimated wait is infinite.
 MAX_RETRY_AFTER_MS = 10_000
-#: Share of the slots that late calls leave free: one of a dozen.  A call in
-#: time that arrives a moment later finds it.  In simulated overloads of a
-#: target set that is short of slots, 72 to 84 % of the callers end within
-#: their goal without the reserve, 76 to 85 % with it, and 75 to 84 % with
-#: twice as many reserved slots.
+#: Share of the slots that late calls may not take, one slot of twelve: it is
+#: reserved for a call in time that arrives a moment later.  In simulated
+#: overloads of a target set that is short of slots, 72 to 84 % of the callers
+#: are answered within their goal without the reserve, 76 to 85 % with it, and
+#: 75 to 84 % with twice as many reserved slots.
 RESERVED_SHARE = 0.08
 #: Shortest time until a queued call is reviewed: about the time in which one
-#: of a dozen slots becomes free.
+#: of twelve slots becomes free.
 MIN_REVIEW_MS = 10
 
 
 class CallResult(enum.Enum):
-    """Result of a call, as far as it tells about the target."""
+    """Result of a call, for the statistics of the target."""
 
     DONE = 'done'
     #: The target refused the call before doing any work.
     REFUSED = 'refused'
     #: The target returned a server error, or no complete answer.
     FAILED = 'failed'
-    #: The caller cancelled the call, which tells nothing about the target.
+    #: The caller cancelled the call; it is left out of the statistics.
     CANCELLED = 'cancelled'
 
 
@@ -114,19 +114,19 @@
 
     @property
     def is_nested(self) -> bool:
-        """Whether a target issued it, and holds a slot until it ends."""
+        """Whether a target issued it; the parent call holds a slot."""
         return self.urgency is _messages.CallUrgency.TARGET
 
     def make_sort_key(self, is_late: bool) -> tuple:
         """Return the sort key of the call in the queue.
 
         Calls issued by targets go first, because their parent calls hold
-        slots.  Then calls that can end within their goal go before late ones:
-        a slot gives either an answer in time to one or a late answer to the
-        other.  Among those, a workspace that is served far less often than
-        others goes first; then calls are ordered by the priority of the
-        workspace and their own.  Within one priority, a workspace that has
-        had more than its share goes last.
+        slots.  Then calls in time go before late ones: the same slot would
+        otherwise be spent on an answer that misses its goal.  Among those, a
+        workspace that is served far less often than others goes first; then
+        calls are ordered by the priority of the workspace and their own.
+        Within one priority, a workspace that has had more than its share goes
+        last.
         """
         until_s = self.deadline_s if is_late else self.goal_s
         return (
--- a/sedgering/mesh/_hop.py
+++ b/sedgering/mesh/_hop.py
@@ -29,10 +29,10 @@
 CALL = 'sedgering-call'
 OUTCOME = 'sedgering-outcome'
 LOAD = 'sedgering-load'
-#: A field of its own: daemons of the previous version accept the load field
-#: only with its exact number of values.
+#: Number of waiting nested calls. It has a separate field because daemons of
+#: the previous version accept the load field only with `LOAD_FIELDS` values.
 NESTED = 'sedgering-nested'
-#: A field of its own for the same reason.
+#: Wait of a large answer; a separate field for the same reason.
 ANSWER_WAIT = 'sedgering-answer-wait'
 #: Percentage of calls that the target failed; omitted when zero.
 FAILED = 'sedgering-failed'
@@ -48,11 +48,11 @@
 FREE_PLACE = 'sedgering-free-place'
 #: Set when a call may run although targets have crashed while running it.
 TRIAL = 'sedgering-trial'
-#: Crashes of targets while running a request: those that no longer count
-#: against it, and those that do, in calls and in answers.
+#: Ids of crashes of targets while running a request: those that no longer
+#: count against it (in calls), and those that do (in calls and answers).
 FORGIVEN = 'sedgering-forgiven'
 CRASHES = 'sedgering-crashes'
-#: The actual reason, when daemons of the previous version do not know it.
+#: Actual reason of a refusal, if the previous version does not know it.
 REASON = 'sedgering-reason'
 SEPARATOR = '|'
 #: Separates crash ids, which contain no spaces.
@@ -61,8 +61,9 @@
 TRIAL_PREFIX = 'trial:'
 #: Number of values of the load field.
 LOAD_FIELDS = 6
-#: Reasons unknown to daemons of the previous version. They are sent as a shed
-#: call, which has not run and may be sent elsewhere.
+#: Reasons unknown to daemons of the previous version. They are sent as SHED,
+#: so that those daemons know that the call has not run and may be sent to
+#: another host.
 _EXTENDED_REASONS = frozenset(
     (
         _messages.RefusalReason.SUSPECTED,
--- a/sedgering/mesh/_messages.py
+++ b/sedgering/mesh/_messages.py
@@ -1,4 +1,4 @@
-"""Data types of the request path, and of what daemons exchange."""
+"""Data types of the request path and of messages between daemons."""
 
 import enum
 from typing import Annotated
@@ -79,7 +79,7 @@
     NONE = ''
     #: The host cannot be reached.
     UNREACHABLE = 'unreachable'
-    #: The host of that daemon runs another target, or none.
+    #: The host runs another target than the one that the call names.
     WRONG_TARGET = 'wrong target'
     #: The daemon knows no listening target: it has just started, or its target
     #: has ended.
@@ -100,10 +100,10 @@
     DAMAGED = 'damaged answer'
     #: The deadline passed.
     DEADLINE = 'deadline'
-    #: Targets have crashed while the request ran: it may run on one target
-    #: only.
+    #: Targets have crashed while running the request: it may now run on one
+    #: target only, as a trial.
     SUSPECTED = 'suspected'
-    #: It has crashed so many targets that it is not run again.
+    #: The request has crashed so many targets that it is not run again.
     QUARANTINED = 'quarantined'
 
 
@@ -113,7 +113,7 @@
     #: A target that works on a request: its slot is held meanwhile, and its
     #: work is lost if the call fails.
     TARGET = 0
-    #: A caller whose first attempt this is, and that may be served in time.
+    #: A caller on its first attempt, which can still be served in time.
     FIRST = 1
     #: A caller that has probably been refused before. Its latency goal counts
     #: from its first attempt, so that it is mostly late: if served first, it
@@ -386,8 +386,8 @@
         Whether it may wait for a slot. If not, and none is free, it is refused
         as busy, with the time for which it would have waited.
     is_trial : bool
-        At the sender, whether this target is the only one on which the
-        suspected request may run; at the gate, whether it runs as a suspect.
+        At the sender, whether this target is the only one on which the suspect
+        request may run; at the gate, whether the call is a trial run of it.
     crashes : tuple of CrashEvidence
         Crashes of targets while the request ran, as known to its sender.
     cleared_crashes : tuple of CrashId
--- a/sedgering/mesh/_peers.py
+++ b/sedgering/mesh/_peers.py
@@ -15,26 +15,28 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Maximum number of idle connections kept to one peer; no more are ever in use
-#: at a time.
+#: Maximum number of idle connections kept to one peer; no more are in use at
+#: the same time.
 IDLE_CONNECTIONS = 32
-#: Pause after a target has refused as leaving or gone: about the time that its
-#: row takes to change on all hosts.
+#: Pause after a refusal because the target is leaving or gone: about the time
+#: that its row takes to change on all hosts.
 CLOSED_PAUSE_MS = 2000
-#: The same when its daemon has just started and does not know its target yet.
+#: Pause after a refusal by a daemon that does not know its target, usually
+#: because the daemon has just started.
 UNKNOWN_TARGET_PAUSE_MS = 200
 #: Pause after a host has refused a connection: its daemon is restarting, which
-#: takes about 0.3 s, or is gone, and its row with it. A further attempt costs
-#: a round trip of 3 ms.
+#: takes about 0.3 s, or has ended, and then its row is removed too. A further
+#: attempt costs a round trip of 3 ms.
 CONNECTION_REFUSED_PAUSE_MS = 150
 #: A peer that answered this recently is not suspected when a new connection
 #: fails: its host is alive, and open connections work.
 RECENT_RESPONSE_S = 0.5
-#: Share of the allowed silence after which a daemon is pinged: a round trip
-#: takes 3 ms, and a busy link adds about 200 ms.
+#: Share of the allowed silence after which a daemon is pinged. The rest has to
+#: suffice for the answer: a round trip takes 3 ms, and a busy link adds about
+#: 200 ms.
 PING_SILENCE_SHARE = 0.4
-#: Longest wait for the answer to a ping; the daemon is marked as failed
-#: before.
+#: Timeout of :meth:`Peer.ask`. A daemon that does not answer a ping is marked
+#: as failed earlier.
 ASK_TIMEOUT_S = 1.0
 #: A target that answers nothing for this many of its work times counts as
 #: hung: work times vary, and one call in a hundred takes three to five times
@@ -42,13 +44,13 @@
 HUNG_WORK_TIMES = 4
 #: Work time assumed for a target that has reported nothing yet.
 DEFAULT_WORK_MS = 100
-#: Half-life of a reported work time: slow and partly failing targets stay so
-#: for some seconds.
+#: Half-life of a reported work time or failure share: targets stay slow, or
+#: continue to fail calls, for some seconds.
 WORK_HALF_LIFE_MS = 3000
-#: Half-life of a reported link utilisation: a burst lasts a few seconds.
+#: Half-life of a reported link utilization: a burst lasts a few seconds.
 LINK_HALF_LIFE_MS = 2000
-#: Time for which a reported queue is taken to exist still: with a dozen slots
-#: it gets shorter by a call each 5 to 10 ms. Without this, in a small fleet
+#: Time for which a reported queue is assumed to last: with twelve slots, one
+#: call leaves it every 5 to 10 ms. Without this assumption, in a small fleet
 #: that is short of slots, three of four probes for a free slot went to targets
 #: that had just reported a queue.
 QUEUE_REPORT_VALID_S = 0.04
@@ -57,7 +59,7 @@
 #: Weight of the newest answer in the mean work time and answer size of a route
 #: over all targets.
 TYPICAL_WEIGHT = 0.05
-#: Weight of the newest report in the mean number of calls present.
+#: Weight of the newest report in the mean number of calls at a target.
 USUAL_WEIGHT = 0.2
 
 
@@ -82,7 +84,7 @@
     ):
         self.row = row
         self.in_flight = 0
-        #: Of these, calls of targets.
+        #: Calls in flight that were issued by targets.
         self.in_flight_nested = 0
         #: When its daemon last answered anything, and when its target did.
         self.heard_s = 0.0
@@ -96,7 +98,7 @@
         self._cold_until_s = 0.0
         self._speed = balance.MomentSpeed()
         #: Mean number of calls of other daemons at the target, and of those
-        #: among them that go before a call of a target.
+        #: among them that are served before a new call issued by a target.
         self._mean_present = 0.0
         self._mean_nested = 0.0
         self.report_in_flight = 0
@@ -173,7 +175,7 @@
         self._cold_until_s = until_s
 
     def estimate_link_share(self, now_s: float) -> float:
-        """Estimate the utilisation of the link of the host, 0 to 1."""
+        """Estimate the utilization of the link of the host, 0 to 1."""
         if self.report is None or not self.report.link_percent:
             return 0.0
         age_ms = (now_s - self.reported_s) * 1000
@@ -189,19 +191,19 @@
         return self.report.answer_wait_ms * weight
 
     def estimate_present(self, now_s: float, is_nested: bool) -> float:
-        """Estimate the calls that go before a new one at the target.
+        """Estimate how many calls at the target are served before a new one.
 
-        Calls of targets go before all others that wait.  When all calls were
-        counted alike, every nested call waited 40 to 50 ms with two targets:
-        a slow one received all nested calls, while the fast one worked on the
-        queue of other calls.
+        Nested calls, which targets issue, are served before all other queued
+        calls.  When all queued calls were counted alike, every nested call
+        waited 40 to 50 ms in a set of two targets: the fast target had a
+        queue of other calls, so that the slow one received all nested calls.
 
         Parameters
         ----------
         now_s : float
             Time of the event loop.
         is_nested : bool
-            Whether the new call comes from a target.
+            Whether a target issued the new call.
         """
         report = self.report
         if report is None:
@@ -370,8 +372,8 @@
     def close(self, now_s: float, reason: _messages.RefusalReason) -> None:
         """Send nothing to the target for a while.
 
-        The row of a target that is leaving changes in the meantime; a
-        restarted daemon learns of its target again.
+        By the end of the pause, the row of a target that is leaving has
+        changed, and a restarted daemon knows its target again.
         """
         pause_ms = CLOSED_PAUSE_MS
         if reason is _messages.RefusalReason.TARGET_UNKNOWN:
@@ -389,7 +391,7 @@
         self.closed_until_s = now_s + pause_ms / 1000
 
     def is_suspect(self, now_s: float) -> bool:
-        """Whether it failed recently and is avoided where possible."""
+        """Whether the peer failed recently and is avoided where possible."""
         return now_s < self.suspect_until_s
 
     def note_unreachable(
@@ -516,7 +518,7 @@
         )
 
     def mark_silent(self, now_s: float) -> None:
-        """Mark daemons and targets that are silent for too long."""
+        """Abandon silent daemons; notify the calls at silent targets."""
         limit_ms = self.mesh_settings.silence_ms
         for peer in self._list_busy():
             if peer.find_silence_ms(now_s) > limit_ms:
@@ -531,8 +533,9 @@
     def _list_busy(self) -> list[Peer]:
         """Return the peers with calls in flight.
 
-        Most have none: with 195 hosts, ten checks of all peers per second take
-        0.37 % of a core (368 us per check, against 6 us for the busy ones).
+        Most peers have none.  With 195 hosts, ten checks per second of all
+        peers take 0.37 % of a core: 368 us per check, compared with 6 us for a
+        check of the busy peers only.
         """
         return [peer for peer in self._peers.values() if peer.in_flight]
 
--- a/sedgering/mesh/_relay.py
+++ b/sedgering/mesh/_relay.py
@@ -1,9 +1,9 @@
 """Relays: daemons that pass updates from the store on to others.
 
-Each daemon that watches the store makes calls, and reads the whole document
-for each version. In a large fleet a few daemons of each data centre watch it,
-and the others poll them. A poll is held until there is an update, such as the
-difference between two versions.
+Each daemon that watches the store calls it repeatedly, and reads the whole
+document for each version. In a large fleet, only a few daemons of each data
+centre watch the store, and the others poll these relays. A relay holds a poll
+until there is an update, such as the difference between two versions.
 """
 
 import asyncio
@@ -70,7 +70,7 @@
         Revision of the store up to which it knows the member rows.
     rollouts : dict of str to int or None
         Revisions of the orders and rollouts that it knows; None when it does
-        not even know whether there are any.
+        not know yet whether there are any.
     """
 
     host: base.HostId
@@ -85,13 +85,15 @@
     Parameters
     ----------
     is_fresh : bool
-        Whether the relay is in contact with the store.
+        Whether followers may rely on the relay: it is in contact with the
+        store, or lost contact less than `LOST_GRACE_S` ago.
     version_revision : int
         Revision of the store up to which there is no newer version.
     version : VersionUpdate or None
         None when the sender of the poll holds the newest version.
     members : MemberUpdate or None
-        Without entries when only the revision has grown.
+        None when the sender of the poll knows the newest revision; without
+        entries when only the revision has grown.
     rollouts : RolloutUpdate or None
         None when the sender of the poll knows all of them, or the relay does
         not.
--- a/sedgering/mesh/_source.py
+++ b/sedgering/mesh/_source.py
@@ -43,11 +43,13 @@
 #: Longest wait of one watch in a daemon that others poll: they must learn soon
 #: that it has lost contact with the store.
 POLLED_WATCH_WAIT_MS = 2000
-#: How long the answer of a relay that there is no newer version stays valid. A
-#: poll takes 1.4 s at most, and after a failure another relay is polled.
+#: Time for which the version of this daemon counts as current after a relay
+#: that is in contact with the store has reported no newer one. A poll takes
+#: 1.4 s at most, and after a failure another relay is polled.
 RELAY_CONTACT_VALID_S = 2.0
-#: Largest additional age of what a relay reports: its own watch waits this
-#: long, and followers rely on it for a moment after it has lost the store.
+#: Largest age of data that a relay reports as current: its own watch waits up
+#: to `POLLED_WATCH_WAIT_MS`, and followers rely on it for `LOST_GRACE_S` after
+#: it has lost contact with the store.
 RELAY_DELAY_S = POLLED_WATCH_WAIT_MS / 1000 + _watch.LOST_GRACE_S
 
 
@@ -118,14 +120,14 @@
         self._polled_s = -POLLED_S
         #: When a relay last reported that it is in contact with the store.
         self._relay_contact_s = -math.inf
-        #: Highest version by which another daemon routed a call.
+        #: Highest version that another daemon used to route a call.
         self._highest_peer_version = base.NO_VERSION
         self._is_check_scheduled = False
         self._changed = asyncio.Event()
         self._tasks: list[asyncio.Task] = []
-        # The version is not read before the members are known and show who
-        # reads it: the document takes 0.7 s on a link of 5 Mbit/s, the same
-        # version from a relay 0.03 s.
+        # The members decide which daemons read versions from the store, so no
+        # version is read before they are known: the document takes 0.7 s on a
+        # link of 5 Mbit/s, but the same version from a relay only 0.03 s.
         self._config_watcher.set_enabled(False)
         if is_first_start:
             self._row_writer.set_stored_row(
@@ -239,7 +241,7 @@
         return int(self.loop.time() * 1000) + self._store_offset_ms
 
     def publish(self, row: _messages.MemberRow | None) -> None:
-        """Set the row of this host until the next call.
+        """Set the row that is published for this host until the next call.
 
         Parameters
         ----------
@@ -357,7 +359,7 @@
             return
 
     def note_peer_version(self, version: base.Version) -> None:
-        """Record a version by which a peer routed a call.
+        """Record the version that a peer used to route a call.
 
         A version that is not yet known here usually arrives soon; if not, it
         is read from the store after `VERSION_LAG_CHECK_S`.
--- a/sedgering/mesh/_target_client.py
+++ b/sedgering/mesh/_target_client.py
@@ -91,7 +91,7 @@
         self._in_flight: dict[
             transport.ClientConnection, _crash_watch.SentCall
         ] = {}
-        #: Lifetime that the statistics of the gate are from.
+        #: Lifetime to which the statistics of the gate belong.
         self._lifetime: _messages.Lifetime | None = None
         #: Lifetime for which the gate is open.
         self._open_lifetime: _messages.Lifetime | None = None
@@ -114,7 +114,7 @@
 
     @property
     def latest_deadline_s(self) -> float:
-        """Latest deadline of the calls at the target; -inf without any."""
+        """Latest deadline of the calls at the target; -inf if none run."""
         return max(
             (sent.deadline_s for sent in self._in_flight.values()),
             default=-math.inf,
@@ -142,8 +142,8 @@
     async def is_listening(self) -> bool:
         """Return whether the target accepts connections.
 
-        An established connection goes to the pool.  A timeout tells nothing,
-        so the target is then taken to be listening.
+        An established connection goes to the pool.  A timeout is no evidence
+        of a crash, so the target is then assumed to be listening.
         """
         try:
             connection = await self.pool.open()
@@ -164,7 +164,7 @@
         is_restart = previous.is_before(current)
         if is_restart or previous.target != current.target:
             if self._open_lifetime == previous:
-                # The crash is detected only by the next lifetime.
+                # The crash went undetected until the next lifetime appeared.
                 self._open_lifetime = None
                 self._report_crash(previous)
             LOG.info('target replaced', extra={'target': current.target})
@@ -276,9 +276,9 @@
     ) -> _messages.CallAnswer | None:
         """Refuse a call that this target currently runs too slowly.
 
-        Applies only while the sender still looks for a free slot.  A call is
-        returned by a few hosts at most and then runs where it is delayed
-        least.
+        Applies only while the sender still searches for a free slot.  A few
+        hosts at most refuse a call this way; then it runs where its delay is
+        shortest.
         """
         left_ms = call.goal_ms or call.remaining_ms
         delay_ms = self.speed.find_delay_ms(call.route, left_ms)
@@ -338,9 +338,10 @@
         fingerprint: base.Fingerprint,
         arrived_s: float,
     ) -> _messages.CallAnswer:
-        """Run a call during which targets have crashed, if it may run here.
+        """Run a call of a suspect request, if it may run here.
 
-        Copies of it wait for the result of the first one.
+        A request is suspect when targets have crashed while running it.
+        Concurrent calls of the same request wait for the result of the first.
         """
         crashes = self.crashes
         while crashes.find_status(fingerprint) is _crashes.CrashStatus.SUSPECT:
@@ -442,7 +443,7 @@
     def _check_target(
         self, call: _messages.TargetCall
     ) -> _messages.RefusalReason:
-        """Return why a call cannot run here if its target is not present."""
+        """Check that the target of a call is present; return why if not."""
         if self.target.target is None or self.target.is_down:
             return _messages.RefusalReason.TARGET_UNKNOWN
         if self.target.target != call.target:
@@ -454,8 +455,8 @@
     ) -> _messages.CallAnswer:
         """Send a call unless it became invalid while it waited.
 
-        The target may have been replaced, or others may have crashed during
-        the same request.
+        The target may have been replaced, or other targets may have crashed
+        while running the same request.
         """
         reason = self._check_target(call)
         if reason is not _messages.RefusalReason.NONE:
@@ -621,8 +622,8 @@
     def _note_misdirected(self, call: _messages.TargetCall) -> None:
         """Close the gate if another target answers at the address.
 
-        A call that names an earlier target proves nothing about the current
-        one.
+        A call that names an earlier target is ignored: the current target is
+        right to refuse it.
         """
         lifetime = self.target.lifetime
         if lifetime is None or lifetime.target != call.target:
